--- a/burdockdrum/peers/messages.py
+++ b/burdockdrum/peers/messages.py
@@ -6,6 +6,7 @@
 """
 
 from dataclasses import dataclass
+from typing import ClassVar
 
 import msgspec
 
@@ -13,11 +14,24 @@
 
 
 class Message(msgspec.Struct, frozen=True, kw_only=True):
-    """The base class of what one process tells another."""
+    """The base class of what one process tells another.
+
+    A class that was renamed or moved sets ``wire_kind`` to the kind that it
+    had, so that peers of other versions still know its messages.
+    """
+
+    wire_kind: ClassVar[str | None] = None
 
     @classmethod
     def kind(cls) -> str:
-        """Return the name on the wire: the package and the class."""
+        """Return the name on the wire.
+
+        That is the class's own ``wire_kind``, else the package and the class.
+        """
+        # Not inherited: two classes of one kind would be taken for each other.
+        wire_kind: str | None = cls.__dict__.get("wire_kind")
+        if wire_kind is not None:
+            return wire_kind
         package = cls.__module__.removeprefix("burdockdrum.").split(".")[0]
         return f"{package}.{cls.__name__}"
 
