--- a/burdockdrum/passthrough/model.py
+++ b/burdockdrum/passthrough/model.py
@@ -2,6 +2,7 @@
 
 from dataclasses import dataclass
 from dataclasses import field
+from typing import ClassVar
 
 from burdockdrum.http1 import RequestHead
 from burdockdrum.http1 import ResponseHead
@@ -106,6 +107,8 @@
 class Delivered:
     """The caller has the whole answer."""
 
+    log_name: ClassVar[str] = "Delivered"
+
     status: int
 
 
@@ -116,6 +119,8 @@
     ``runs`` is how many attempts that took, in another region.
     """
 
+    log_name: ClassVar[str] = "Answered"
+
     head: ResponseHead
     body: bytes
     runs: int = 1
@@ -128,6 +133,8 @@
     ``replaced`` says that another start has the endpoint's address.
     """
 
+    log_name: ClassVar[str] = "NotStarted"
+
     reason: str
     reached: bool
     replaced: bool = False
@@ -142,9 +149,12 @@
     the other region used, None if it did not say.
     """
 
+    log_name: ClassVar[str] = "Lost"
+
     reason: str
     timed_out: bool = False
     runs: int | None = None
 
 
+# ``log_name`` is the ``outcome`` in the log: it stays if a class is renamed.
 Outcome = Delivered | Answered | NotStarted | Lost
--- a/burdockdrum/passthrough/request_log.py
+++ b/burdockdrum/passthrough/request_log.py
@@ -43,7 +43,7 @@
         shared_tokens=request.prompt.shared_tokens,
         expected_output=request.prompt.expected_output,
         last_event=progress.last_event,
-        outcome=type(outcome).__name__,
+        outcome=outcome.log_name,
         reason=getattr(outcome, "reason", None),
         first_seconds=None if first is None else _round(first),
         longest_pause=_round(progress.longest_pause),
--- /dev/null
+++ b/tests/passthrough/test_request_log.py
@@ -0,0 +1,79 @@
+"""Tests of the log lines that say what became of a request."""
+
+import unittest
+from unittest import mock
+
+from burdockdrum.http1 import RequestHead
+from burdockdrum.http1 import ResponseHead
+from burdockdrum.passthrough.model import Answered
+from burdockdrum.passthrough.model import Delivered
+from burdockdrum.passthrough.model import Lost
+from burdockdrum.passthrough.model import NotStarted
+from burdockdrum.passthrough.model import PassedRequest
+from burdockdrum.passthrough.model import Progress
+from burdockdrum.passthrough.model import RegionPlace
+from burdockdrum.passthrough.request_log import log_attempt
+from tests.passthrough.fakes import make_prompt
+from tests.passthrough.fakes import make_route
+from tests.passthrough.fakes import PLAIN
+
+PLACE = RegionPlace(
+    region="there", address="there:80", vm_id="vm-2", wait_seconds=0.1
+)
+REQUEST = PassedRequest(
+    request_id="r",
+    head=RequestHead(
+        method=b"POST",
+        target=b"/p/",
+        headers=[],
+        body=b"",
+        keep_alive=True,
+        received_at=100.0,
+    ),
+    route=make_route(),
+    backend=PLAIN,
+    prompt=make_prompt(100),
+    received_at=100.0,
+    deadline=103.0,
+    attempts=2,
+)
+
+
+class AttemptTest(unittest.TestCase):
+    """The line of an attempt."""
+
+    def log_outcome(self, outcome):
+        """Log an attempt; return the level and the outcome of its line."""
+        with mock.patch.multiple(
+            "burdockdrum.passthrough.request_log",
+            log_decision=mock.DEFAULT,
+            log_failure=mock.DEFAULT,
+        ) as logs:
+            log_attempt(
+                PLACE,
+                REQUEST,
+                Progress(),
+                outcome,
+                began=100.0,
+                first=None,
+                now=101.0,
+            )
+        ((name, log),) = [item for item in logs.items() if item[1].called]
+        log.assert_called_once()
+        return name, log.call_args.kwargs["outcome"]
+
+    def test_outcomes_keep_the_names_that_operators_search_for(self):
+        # Renaming a class must not rename what stands in the logs.
+        answered = Answered(
+            head=ResponseHead(status=500, headers=[]), body=b""
+        )
+        for outcome, expected in (
+            (Delivered(status=200), ("log_decision", "Delivered")),
+            (answered, ("log_failure", "Answered")),
+            (
+                NotStarted(reason="", reached=True),
+                ("log_failure", "NotStarted"),
+            ),
+            (Lost(reason=""), ("log_failure", "Lost")),
+        ):
+            self.assertEqual(expected, self.log_outcome(outcome))
