--- a/burdockdrum/holdings/__init__.py
+++ b/burdockdrum/holdings/__init__.py
@@ -1,33 +1,34 @@
-"""What endpoints hold of prompts, from what they say themselves.
+"""The contents of endpoints' prefix caches, as endpoints report them.
 
-A few entries ask the endpoints and tell the others; see ``listening`` and
-``sharing``. Where endpoints say nothing, what was sent to them has to do.
+One entry polls each endpoint (``listening``) and publishes the changes to the
+other entries (``sharing``). Where endpoints report nothing, entries estimate
+the contents from the prompts that they sent.
 """
 
+from burdockdrum.holdings.ledger import EndpointCache
 from burdockdrum.holdings.ledger import HoldingsLedger
-from burdockdrum.holdings.ledger import Memory
-from burdockdrum.holdings.listening import HoldingsListener
+from burdockdrum.holdings.listening import PrefixCachePoller
 from burdockdrum.holdings.messages import HeldChange
 from burdockdrum.holdings.services import add_services
 from burdockdrum.holdings.shared_parts import SharedParts
 from burdockdrum.holdings.sharing import HoldingsSharing
 from burdockdrum.holdings.source import HeldEvents
 from burdockdrum.holdings.source import HeldList
-from burdockdrum.holdings.source import HoldingsSource
 from burdockdrum.holdings.source import HoldingsUnknown
-from burdockdrum.holdings.source import NoSource
+from burdockdrum.holdings.source import NullSource
+from burdockdrum.holdings.source import PrefixCacheSource
 
 __all__ = [
     "add_services",
+    "EndpointCache",
     "HeldChange",
     "HeldEvents",
     "HeldList",
     "HoldingsLedger",
-    "HoldingsListener",
     "HoldingsSharing",
-    "HoldingsSource",
     "HoldingsUnknown",
-    "Memory",
-    "NoSource",
+    "NullSource",
+    "PrefixCachePoller",
+    "PrefixCacheSource",
     "SharedParts",
 ]
--- a/burdockdrum/holdings/listening.py
+++ b/burdockdrum/holdings/listening.py
@@ -1,11 +1,9 @@
-"""Listen to some endpoints for what they hold, and tell the others.
+"""Polls endpoints for changes of their prefix caches.
 
-What an endpoint holds can't be told from what was sent there: its memory is
-shared with what runs.
-
-Each endpoint is listened to by one entry, chosen by rendezvous hash among
-those of its data centre, so that an endpoint is asked once a second however
-many entries there are. Who takes over goes on from the event that it knows.
+The cache can't be derived from the prompts sent: it shares its memory with
+running requests. One entry polls each endpoint, chosen by rendezvous hash
+among the entries of its data centre, so the query rate does not grow with
+the number of entries. Its successor continues from the last event it knows.
 """
 
 import asyncio
@@ -19,8 +17,8 @@
 from burdockdrum.holdings.ledger import HoldingsLedger
 from burdockdrum.holdings.messages import HeldChange
 from burdockdrum.holdings.source import HeldEvents
-from burdockdrum.holdings.source import HoldingsSource
 from burdockdrum.holdings.source import HoldingsUnknown
+from burdockdrum.holdings.source import PrefixCacheSource
 from burdockdrum.logs import log_decision
 from burdockdrum.logs import log_failure
 from burdockdrum.peers import VmIdentity
@@ -28,37 +26,35 @@
 from burdockdrum.registrations import RegisteredEndpoint
 from burdockdrum.vms import choose_by_hash
 
-# An endpoint that reads prompts has news all the time; each question takes it
-# and the entry some 0.3 ms. What it was sent meanwhile is known anyway.
-ASK_SECONDS = 1.0
-# After a question that got no answer.
-PAUSE_SECONDS = 2.0
-# How often the endpoints to listen to are looked over: after a full stop
-# what is held is read again until it is known.
-LOOK_SECONDS = 0.2
+POLL_INTERVAL_SECONDS = 1.0
+# The delay after a failed query.
+RETRY_DELAY_SECONDS = 2.0
+# How often the assignment of endpoints to entries is recomputed. Short, so
+# that caches are known soon after all entries have restarted.
+ASSIGNMENT_INTERVAL_SECONDS = 0.2
 
 
-class HoldingsListener:
-    """One task for each endpoint that this entry listens to."""
+class PrefixCachePoller:
+    """Runs one polling task for each endpoint assigned to this entry."""
 
     def __init__(
         self,
         *,
         own: VmIdentity,
         clock: Clock,
-        source: HoldingsSource,
+        source: PrefixCacheSource,
         ledger: HoldingsLedger,
         read_endpoints: Callable[[], Mapping[str, RegisteredEndpoint]],
         read_entries: Callable[[], Iterable[VmIdentity]],
-        holds_prompts: Callable[[str], bool],
-        learned: asyncio.Event,
+        has_prefix_cache: Callable[[str], bool],
+        initial_sync_done: asyncio.Event,
     ) -> None:
-        """Listen to nothing yet.
+        """Create a poller; it polls once ``run`` is called.
 
         :param read_endpoints: returns the endpoints of this region by id
         :param read_entries: returns the other entries of this region
-        :param holds_prompts: says whether a service's endpoints do
-        :param learned: set once the neighbours have told what they know
+        :param has_prefix_cache: whether a service's endpoints cache prefixes
+        :param initial_sync_done: set once another entry's table was loaded
         """
         self._own = own
         self._clock = clock
@@ -66,27 +62,29 @@
         self._ledger = ledger
         self._read_endpoints = read_endpoints
         self._read_entries = read_entries
-        self._holds_prompts = holds_prompts
-        self._learned = learned
+        self._has_prefix_cache = has_prefix_cache
+        self._initial_sync_done = initial_sync_done
         self._tasks_by_id: dict[str, asyncio.Task[None]] = {}
 
     @property
     def endpoint_ids(self) -> Collection[str]:
-        """Return the endpoints that are listened to."""
+        """Return the ids of the endpoints that this entry polls."""
         return self._tasks_by_id.keys()
 
     async def run(self) -> None:
-        """Keep to the endpoints that are this entry's, until cancelled."""
+        """Poll the assigned endpoints until cancelled."""
         if not self._source.is_there:
             return
-        await self._learned.wait()
+        await self._initial_sync_done.wait()
         async with asyncio.TaskGroup() as group:
             while True:
-                self._match(group, self._source)
-                await self._clock.sleep(LOOK_SECONDS)
+                self._update_tasks(group, self._source)
+                await self._clock.sleep(ASSIGNMENT_INTERVAL_SECONDS)
 
-    def _match(self, group: asyncio.TaskGroup, source: HoldingsSource) -> None:
-        own = {e.endpoint_id: e for e in self._find_own()}
+    def _update_tasks(
+        self, group: asyncio.TaskGroup, source: PrefixCacheSource
+    ) -> None:
+        own = {e.endpoint_id: e for e in self._find_assigned()}
         for endpoint_id, task in list(self._tasks_by_id.items()):
             if endpoint_id not in own:
                 task.cancel()
@@ -94,78 +92,83 @@
         for endpoint_id, endpoint in own.items():
             if endpoint_id not in self._tasks_by_id:
                 self._tasks_by_id[endpoint_id] = group.create_task(
-                    self._listen(source, endpoint)
+                    self._poll(source, endpoint)
                 )
                 log_decision("holdings.listening", endpoint_id=endpoint_id)
 
-    def _find_own(self) -> Iterable[RegisteredEndpoint]:
+    def _find_assigned(self) -> Iterable[RegisteredEndpoint]:
         entries = [self._own, *self._read_entries()]
         for endpoint in self._read_endpoints().values():
-            if not self._holds_prompts(endpoint.service):
+            if not self._has_prefix_cache(endpoint.service):
                 continue
-            near = [
+            local_ids = [
                 entry.vm_id
                 for entry in entries
                 if entry.data_centre == endpoint.data_centre
             ]
-            ids = near or [entry.vm_id for entry in entries]
+            ids = local_ids or [entry.vm_id for entry in entries]
             if choose_by_hash(ids, endpoint.endpoint_id, 1) == [
                 self._own.vm_id
             ]:
                 yield endpoint
 
-    async def _listen(
-        self, source: HoldingsSource, endpoint: RegisteredEndpoint
+    async def _poll(
+        self, source: PrefixCacheSource, endpoint: RegisteredEndpoint
     ) -> None:
-        is_heard = True
+        was_reachable = True
         while True:
-            asked_at = self._clock.monotonic()
-            pause = ASK_SECONDS
+            started_at = self._clock.monotonic()
+            delay = POLL_INTERVAL_SECONDS
             try:
-                await self._ask(source, endpoint)
-                if not is_heard:
-                    self._tell_heard(endpoint.endpoint_id, is_silent=False)
-                is_heard = True
+                await self._query(source, endpoint)
+                if not was_reachable:
+                    self._publish_reachability(
+                        endpoint.endpoint_id, is_silent=False
+                    )
+                was_reachable = True
             except HoldingsUnknown as error:
-                pause = PAUSE_SECONDS
-                if is_heard:
-                    self._tell_heard(endpoint.endpoint_id, is_silent=True)
+                delay = RETRY_DELAY_SECONDS
+                if was_reachable:
+                    self._publish_reachability(
+                        endpoint.endpoint_id, is_silent=True
+                    )
                     log_failure(
                         "holdings.unknown",
                         endpoint_id=endpoint.endpoint_id,
                         reason=str(error),
                     )
-                is_heard = False
-            took = self._clock.monotonic() - asked_at
-            await self._clock.sleep(max(0.0, pause - took))
+                was_reachable = False
+            elapsed = self._clock.monotonic() - started_at
+            await self._clock.sleep(max(0.0, delay - elapsed))
 
-    def _tell_heard(self, endpoint_id: str, *, is_silent: bool) -> None:
-        """Tell whether an endpoint answers, with all that it holds.
+    def _publish_reachability(
+        self, endpoint_id: str, *, is_silent: bool
+    ) -> None:
+        """Record whether an endpoint answers, with a snapshot of its cache.
 
-        Others fetch beginnings from endpoints that hold them, and a fetch from
-        one that is gone takes seconds. One question that fails is enough:
-        where the endpoint lives after all, others fetch from elsewhere for a
-        moment.
+        Other endpoints fetch cached prefixes from it, and a fetch from an
+        unreachable endpoint takes seconds. So one failed query is enough: if
+        it was a false alarm, fetches only go elsewhere for a short time.
         """
-        whole = self._ledger.read_whole(endpoint_id)
-        if whole is not None:
-            change = msgspec.structs.replace(whole, is_silent=is_silent)
+        current = self._ledger.read_whole(endpoint_id)
+        if current is not None:
+            change = msgspec.structs.replace(current, is_silent=is_silent)
             self._ledger.take(change, self._clock.monotonic())
 
-    async def _ask(
-        self, source: HoldingsSource, endpoint: RegisteredEndpoint
+    async def _query(
+        self, source: PrefixCacheSource, endpoint: RegisteredEndpoint
     ) -> None:
-        memory = self._ledger.find(endpoint.endpoint_id)
-        if memory is None:
-            await self._read_list(source, endpoint)
+        cache = self._ledger.find(endpoint.endpoint_id)
+        if cache is None:
+            await self._read_snapshot(source, endpoint)
             return
-        events = await source.read_events(endpoint, memory.number)
-        if events.epoch != memory.epoch or events.has_gap:
-            await self._read_list(source, endpoint)
+        events = await source.read_events(endpoint, cache.number)
+        if events.epoch != cache.epoch or events.has_gap:
+            await self._read_snapshot(source, endpoint)
             return
-        self._take_events(endpoint, events)
+        self._apply_events(endpoint, events)
 
-    def _take_events(
+    def _apply_events(
         self, endpoint: RegisteredEndpoint, events: HeldEvents
     ) -> None:
         self._ledger.take(
@@ -180,18 +183,18 @@
             self._clock.monotonic(),
         )
 
-    async def _read_list(
-        self, source: HoldingsSource, endpoint: RegisteredEndpoint
+    async def _read_snapshot(
+        self, source: PrefixCacheSource, endpoint: RegisteredEndpoint
     ) -> None:
-        held = await source.read_list(endpoint)
+        snapshot = await source.read_list(endpoint)
         self._ledger.take(
             HeldChange(
                 endpoint_id=endpoint.endpoint_id,
                 address=endpoint.address,
                 data_centre=endpoint.data_centre,
-                epoch=held.epoch,
-                number=held.number,
-                tokens_by_part=held.tokens_by_part,
+                epoch=snapshot.epoch,
+                number=snapshot.number,
+                tokens_by_part=snapshot.tokens_by_part,
                 whole=True,
             ),
             self._clock.monotonic(),
--- a/burdockdrum/holdings/messages.py
+++ b/burdockdrum/holdings/messages.py
@@ -1,22 +1,25 @@
-"""What entries tell each other of what endpoints hold in their memory.
+"""Messages between entries about the prefix caches of endpoints.
 
-The structs are arrays on the wire, to spend few bytes; fields are only ever
-added at their ends.
+The structs are encoded as arrays to save bytes; for compatibility, fields are
+only ever added at the end.
 """
 
+from typing import ClassVar
+
 import msgspec
 
 from burdockdrum.peers import Message
 
 
 class HeldChange(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What changed in an endpoint's memory, as it said itself.
-
-    ``epoch`` names the memory: it is another one after a restart. ``number``
-    is that of the last event that this includes. ``tokens_by_part`` are the
-    parts of prompts with the tokens that are held now, 0 for one that is
-    gone; if ``whole``, nothing else is held. One that ``is_silent`` gave no
-    answer to a question: nothing can be fetched from it.
+    """A change of an endpoint's prefix cache, as the endpoint reported it.
+
+    ``epoch`` identifies the cache and changes when the endpoint restarts.
+    ``number`` is the number of the last event included. ``tokens_by_part``
+    has the tokens now cached of each changed part, 0 if it was evicted; if
+    ``whole``, it is a snapshot, and parts not listed are not cached. If
+    ``is_silent``, the endpoint is unreachable, and nothing can be fetched
+    from it.
     """
 
     endpoint_id: str
@@ -29,17 +32,25 @@
     is_silent: bool = False
 
 
-class HoldingsQuestion(Message, frozen=True, kw_only=True, array_like=True):
-    """An entry that has started asks for all that another one knows."""
+class PrefixCacheQuery(Message, frozen=True, kw_only=True, array_like=True):
+    """A starting entry requests another entry's table.
+
+    The answer is a ``PrefixCacheUpdate``.
+    """
+
+    wire_kind: ClassVar[str | None] = "holdings.HoldingsQuestion"
 
 
-class HoldingsNotice(Message, frozen=True, kw_only=True, array_like=True):
-    """What has changed since the last notice, or all if it was asked for.
+class PrefixCacheUpdate(Message, frozen=True, kw_only=True, array_like=True):
+    """The changes since the last update, or all caches as an answer.
 
-    ``passes_on`` asks the receiver to tell the entries of its data centre,
-    ``to_region`` to tell the other data centres of its region as well.
+    ``forward_to_data_centre`` has the receiver forward the changes to the
+    entries of its data centre, ``forward_to_region`` to the other data
+    centres of its region as well.
     """
 
+    wire_kind: ClassVar[str | None] = "holdings.HoldingsNotice"
+
     changes: list[HeldChange]
-    passes_on: bool = False
-    to_region: bool = False
+    forward_to_data_centre: bool = False
+    forward_to_region: bool = False
--- a/burdockdrum/holdings/services.py
+++ b/burdockdrum/holdings/services.py
@@ -1,14 +1,14 @@
-"""Name the services of this package."""
+"""Registers the services of this package with the kernel."""
 
 import random
 
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.holdings.ledger import HoldingsLedger
-from burdockdrum.holdings.listening import HoldingsListener
+from burdockdrum.holdings.listening import PrefixCachePoller
 from burdockdrum.holdings.shared_parts import SharedParts
 from burdockdrum.holdings.sharing import HoldingsSharing
-from burdockdrum.holdings.source import HoldingsSource
-from burdockdrum.holdings.source import NoSource
+from burdockdrum.holdings.source import NullSource
+from burdockdrum.holdings.source import PrefixCacheSource
 from burdockdrum.kernel import Kernel
 from burdockdrum.peers import Peers
 from burdockdrum.peers import VmIdentity
@@ -19,14 +19,14 @@
 
 
 def add_services(kernel: Kernel) -> None:
-    """Name what knows of endpoints' memories, on an entry."""
+    """Register the prefix cache services; only entries have them."""
     if kernel.has("log"):
         return
-    kernel.add("holdings_source", lambda kernel: NoSource())
+    kernel.add("holdings_source", lambda kernel: NullSource())
     kernel.add("shared_parts", lambda kernel: SharedParts())
     kernel.add("holdings", lambda kernel: HoldingsLedger())
     kernel.add("holdings_sharing", _build_sharing)
-    kernel.add("holdings_listener", _build_listener)
+    kernel.add("holdings_listener", _build_poller)
 
 
 def _read_entries(kernel: Kernel) -> list[VmIdentity]:
@@ -44,7 +44,7 @@
 def _build_sharing(kernel: Kernel) -> HoldingsSharing:
     own = kernel.find("identity", VmIdentity)
     topology = kernel.find("settings", Settings).topology
-    near = {
+    same_region = {
         name
         for name, region in topology.regions_by_data_centre.items()
         if region == own.region
@@ -55,27 +55,27 @@
         rng=kernel.find("random", random.Random),
         ledger=kernel.find("holdings", HoldingsLedger),
         shared=kernel.find("shared_parts", SharedParts),
-        near_data_centres=frozenset({own.data_centre, *near}),
+        region_data_centres=frozenset({own.data_centre, *same_region}),
         read_entries=lambda: _read_entries(kernel),
     )
 
 
-def _build_listener(kernel: Kernel) -> HoldingsListener:
+def _build_poller(kernel: Kernel) -> PrefixCachePoller:
     own = kernel.find("identity", VmIdentity)
     configuration = kernel.find("configuration", ConfigurationService)
     registrations = kernel.find("registrations", RegistrationFollower)
     sharing = kernel.find("holdings_sharing", HoldingsSharing)
 
-    def holds_prompts(service: str) -> bool:
+    def has_prefix_cache(service: str) -> bool:
         table = configuration.current.route_table
         backends = table.backends if table is not None else []
         return any(b.name == service and b.engine for b in backends)
 
     mechanisms = kernel.find("settings", Settings).policy.mechanisms
-    source: HoldingsSource = NoSource()
+    source: PrefixCacheSource = NullSource()
     if mechanisms.endpoint_holdings:
-        source = kernel.find("holdings_source", HoldingsSource)
-    listener = HoldingsListener(
+        source = kernel.find("holdings_source", PrefixCacheSource)
+    poller = PrefixCachePoller(
         own=own,
         clock=kernel.find("clock", Clock),
         source=source,
@@ -86,8 +86,8 @@
             for entry in _read_entries(kernel)
             if entry.region == own.region
         ],
-        holds_prompts=holds_prompts,
-        learned=sharing.learned,
+        has_prefix_cache=has_prefix_cache,
+        initial_sync_done=sharing.initial_sync_done,
     )
-    sharing.read_listened = lambda: listener.endpoint_ids
-    return listener
+    sharing.read_polled = lambda: poller.endpoint_ids
+    return poller
--- a/burdockdrum/holdings/shared_parts.py
+++ b/burdockdrum/holdings/shared_parts.py
@@ -1,35 +1,34 @@
-"""Which parts of prompts are shared by several.
+"""The set of prompt parts that several prompts share.
 
-An endpoint tells of every part that it holds, also of those that belong to
-one request alone and never come again: more than half of what it tells.
-Others are told only of parts that some prompt had before its last one.
+Endpoints report every part that they cache, and most of these belong to a
+single request and never recur. Entries publish only shared parts: those that
+a prompt had in front of its last part.
 """
 
 import collections
 
-# The shared parts that were seen last: ten times those of a busy service.
-MAX_KEPT = 20_000
+MAX_PARTS = 20_000
 
 
 class SharedParts:
-    """The ids of the parts that are known to be shared."""
+    """The ids of the most recently used shared parts."""
 
     def __init__(self) -> None:
-        """Know of none."""
+        """Create an empty set."""
         self._seen: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
 
     def __contains__(self, part_id: object) -> bool:
-        """Say whether a part is known to be shared."""
+        """Return whether a part is known to be shared."""
         return part_id in self._seen
 
     def add(self, part_id: str) -> bool:
-        """Take note of a shared part; say whether it was unknown."""
+        """Add a shared part; return whether it was unknown."""
         if part_id in self._seen:
             self._seen.move_to_end(part_id)
             return False
         self._seen[part_id] = None
-        if len(self._seen) > MAX_KEPT:
+        if len(self._seen) > MAX_PARTS:
             self._seen.popitem(last=False)
         return True
--- a/burdockdrum/holdings/sharing.py
+++ b/burdockdrum/holdings/sharing.py
@@ -1,14 +1,10 @@
-"""Tell the other entries what endpoints hold.
+"""Publishes the prefix caches of endpoints to the other entries.
 
-In a data centre every entry tells all others of the endpoints that it listens
-to. Of another data centre an entry knows a few others only, so one entry, the
-reporter, tells one of each data centre beside, which passes it on there, and
-one of each other region, which passes it on there and to the data centres
-beside it. Only shared parts are told, in batches: some 20 bytes a part.
-
-An entry knows a few of another data centre only, so what they are told is
-passed on there. What crosses is one message a batch and data centre, whatever
-the number of entries.
+Within a data centre every entry sends the changes of the endpoints that it
+polls to all others. Between data centres one entry, the reporter, sends each
+batch to one entry of every other data centre of its region and of every other
+region; the receiver forwards it there. So the traffic between data centres
+does not grow with the number of entries. Only shared parts are published.
 """
 
 import asyncio
@@ -24,8 +20,8 @@
 
 from burdockdrum.holdings.ledger import HoldingsLedger
 from burdockdrum.holdings.messages import HeldChange
-from burdockdrum.holdings.messages import HoldingsNotice
-from burdockdrum.holdings.messages import HoldingsQuestion
+from burdockdrum.holdings.messages import PrefixCacheQuery
+from burdockdrum.holdings.messages import PrefixCacheUpdate
 from burdockdrum.holdings.shared_parts import SharedParts
 from burdockdrum.logs import log_decision
 from burdockdrum.peers import CallFailed
@@ -36,30 +32,28 @@
 from burdockdrum.ports import Clock
 from burdockdrum.vms import choose_by_hash
 
-TELL_SECONDS = 0.25
-# Other regions are told less often: a fetch from there saves as much if it is
-# known of a moment later, and bytes between regions are dear.
-TELL_REGIONS_SECONDS = 1.0
-# Shorter parts are read in less time than it takes to fetch them from another
-# region: 110 ms there and back for nothing else than the question.
-MIN_FAR_TOKENS = 1000
-# All that is known of an endpoint is told anew so often: it mends what a
-# broken connection lost. A whole memory is some 60 parts.
-WHOLE_SECONDS = 15.0
-# So many neighbours a starting entry asks, one after the other, each for so
-# long: an answer comes within a few milliseconds.
-MAX_ASKED = 3
-ASK_TIMEOUT_SECONDS = 0.2
-# How long it waits to hear of a neighbour at all.
-ALONE_SECONDS = 0.5
-LOOK_SECONDS = 0.05
-# What was not heard of for so long is of an endpoint that is gone, or behind
-# a cut: it can't be fetched from.
-KEEP_SECONDS = 40.0
+SEND_INTERVAL_SECONDS = 0.25
+# Traffic between regions is expensive, and a fetch from another region rarely
+# depends on the last second.
+REGION_SEND_INTERVAL_SECONDS = 1.0
+# Shorter parts are computed faster than fetched from another region, whose
+# round trip alone takes 110 ms.
+MIN_CROSS_REGION_TOKENS = 1000
+# Snapshots are sent regularly to repair updates lost with a connection.
+SNAPSHOT_INTERVAL_SECONDS = 15.0
+# A starting entry queries so many other entries, one after the other.
+MAX_SYNC_ATTEMPTS = 3
+SYNC_TIMEOUT_SECONDS = 0.2
+# How long a starting entry waits until it knows of any other entry.
+PEER_WAIT_SECONDS = 0.5
+PEER_CHECK_INTERVAL_SECONDS = 0.05
+# Without a report for so long, an endpoint is gone or partitioned, and nothing
+# can be fetched from it.
+MAX_AGE_SECONDS = 40.0
 
 
 class HoldingsSharing:
-    """What this entry tells of endpoints, and hears of them."""
+    """Sends and receives changes of endpoints' prefix caches."""
 
     def __init__(
         self,
@@ -69,112 +63,118 @@
         rng: random.Random,
         ledger: HoldingsLedger,
         shared: SharedParts,
-        near_data_centres: frozenset[str],
+        region_data_centres: frozenset[str],
         read_entries: Callable[[], Iterable[VmIdentity]],
-        read_listened: Callable[[], Collection[str]] = tuple,
+        read_polled: Callable[[], Collection[str]] = tuple,
     ) -> None:
-        """Tell and hear from now on.
+        """Register the message handlers; sending starts with ``run``.
 
-        :param near_data_centres: those of this region
+        :param region_data_centres: the data centres of this region
         :param read_entries: returns the other live entries of all regions
-        :param read_listened: returns the endpoints that this entry hears
+        :param read_polled: returns the ids of the endpoints polled here
         """
-        # Set once a neighbour has told what it knows, or none is there.
-        self.learned = asyncio.Event()
-        self.read_listened = read_listened
+        # Set once another entry's table was loaded, or no entry answered.
+        self.initial_sync_done = asyncio.Event()
+        self.read_polled = read_polled
         self._own = peers.identity
         self._peers = peers
         self._clock = clock
         self._rng = rng
         self._ledger = ledger
         self._shared = shared
-        self._near_data_centres = near_data_centres
+        self._region_data_centres = region_data_centres
         self._read_entries = read_entries
-        self._told_regions_at = float("-inf")
-        self._whole_at_by_id: dict[str, float] = {}
-        # For this data centre, for those beside it, and for other regions.
-        self._waiting_here = _Batch()
-        self._waiting_near = _Batch()
-        self._waiting_there = _Batch()
-        # What came from another region, for the data centres beside.
-        self._waiting_passed = _Batch()
-        self._occupied: frozenset[str] = frozenset({self._own.data_centre})
-        ledger.listeners.append(self._take_change)
-        peers.register(HoldingsNotice, self._take_notice)
-        peers.register(HoldingsQuestion, self._answer)
+        self._regions_sent_at = float("-inf")
+        self._snapshot_at_by_id: dict[str, float] = {}
+        # Changes to send, by scope.
+        self._queued_for_data_centre = _Batch()
+        self._queued_for_region = _Batch()
+        self._queued_for_other_regions = _Batch()
+        # From other regions, for the other data centres of this region.
+        self._queued_for_forwarding = _Batch()
+        self._data_centres_with_entries: frozenset[str] = frozenset(
+            {self._own.data_centre}
+        )
+        ledger.listeners.append(self._queue_change)
+        peers.register(PrefixCacheUpdate, self._receive_update)
+        peers.register(PrefixCacheQuery, self._answer_query)
 
     def note_shared(self, part_id: str) -> None:
-        """Take note that a part is one that prompts share."""
+        """Mark a part as shared and publish the endpoints that cache it."""
         if not self._shared.add(part_id):
             return
-        for memory in list(self._ledger.holders(part_id)):
-            held = {part_id: memory.tokens_by_part[part_id]}
-            whole = self._ledger.read_whole(memory.endpoint_id)
-            if whole is not None:
-                self._take_change(
+        for cache in list(self._ledger.holders(part_id)):
+            cached = {part_id: cache.tokens_by_part[part_id]}
+            snapshot = self._ledger.read_whole(cache.endpoint_id)
+            if snapshot is not None:
+                self._queue_change(
                     msgspec.structs.replace(
-                        whole, tokens_by_part=held, whole=False
+                        snapshot, tokens_by_part=cached, whole=False
                     )
                 )
 
     async def run(self) -> None:
-        """Learn from a neighbour, then tell the others until cancelled."""
-        await self._learn()
-        self.learned.set()
+        """Load another entry's table, then send updates until cancelled."""
+        await self._sync()
+        self.initial_sync_done.set()
         while True:
-            self._tick()
-            await self._clock.sleep(TELL_SECONDS)
-
-    async def _learn(self) -> None:
-        """Have a neighbour tell all that it knows, after a start."""
-        began = self._clock.monotonic()
-        asked: set[str] = set()
-        while len(asked) < MAX_ASKED:
-            here = self._split_entries().by_data_centre.values()
-            known = itertools.chain.from_iterable(here)
-            entry = next((e for e in known if e.vm_id not in asked), None)
+            self._send_updates()
+            await self._clock.sleep(SEND_INTERVAL_SECONDS)
+
+    async def _sync(self) -> None:
+        """Load the table of another entry of this region."""
+        started_at = self._clock.monotonic()
+        queried_ids: set[str] = set()
+        while len(queried_ids) < MAX_SYNC_ATTEMPTS:
+            groups = self._split_entries().by_data_centre.values()
+            known = itertools.chain.from_iterable(groups)
+            entry = next(
+                (e for e in known if e.vm_id not in queried_ids), None
+            )
             if entry is None:
-                if self._clock.monotonic() - began > ALONE_SECONDS:
+                if self._clock.monotonic() - started_at > PEER_WAIT_SECONDS:
                     return
-                await self._clock.sleep(LOOK_SECONDS)
+                await self._clock.sleep(PEER_CHECK_INTERVAL_SECONDS)
                 continue
-            asked.add(entry.vm_id)
-            if await self._ask(entry):
+            queried_ids.add(entry.vm_id)
+            if await self._query(entry):
                 return
 
-    async def _ask(self, entry: VmIdentity) -> bool:
+    async def _query(self, entry: VmIdentity) -> bool:
         try:
-            notice = await self._peers.call(
+            update = await self._peers.call(
                 entry.control_address,
-                HoldingsQuestion(),
-                HoldingsNotice,
-                timeout=ASK_TIMEOUT_SECONDS,
+                PrefixCacheQuery(),
+                PrefixCacheUpdate,
+                timeout=SYNC_TIMEOUT_SECONDS,
             )
         except CallFailed:
-            # It has not started either, or is gone: the next one is asked.
+            # The entry is still starting or gone; the next one is queried.
             return False
-        self._take_all(notice.changes)
+        self._apply_all(update.changes)
         log_decision(
             "holdings.learned",
             about_vm=entry.vm_id,
-            endpoints=len(notice.changes),
+            endpoints=len(update.changes),
         )
         return True
 
-    def _tick(self) -> None:
+    def _send_updates(self) -> None:
         now = self._clock.monotonic()
         entries = self._split_entries()
-        near = [
+        others = [
             n for n in entries.by_data_centre if n != self._own.data_centre
         ]
-        self._occupied = frozenset({self._own.data_centre, *near})
-        self._renew_whole(now)
-        self._tell_here(entries)
-        self._tell_near(entries)
-        if now - self._told_regions_at >= TELL_REGIONS_SECONDS:
-            self._told_regions_at = now
-            self._tell_regions(entries)
-        self._ledger.forget_unheard(now - KEEP_SECONDS, self.read_listened())
+        self._data_centres_with_entries = frozenset(
+            {self._own.data_centre, *others}
+        )
+        self._queue_snapshots(now)
+        self._send_to_data_centre(entries)
+        self._send_to_region(entries)
+        if now - self._regions_sent_at >= REGION_SEND_INTERVAL_SECONDS:
+            self._regions_sent_at = now
+            self._send_to_other_regions(entries)
+        self._ledger.forget_stale(now - MAX_AGE_SECONDS, self.read_polled())
 
     def _split_entries(self) -> "_Entries":
         entries = _Entries()
@@ -186,89 +186,98 @@
                 entries.by_region.setdefault(entry.region, []).append(entry)
         return entries
 
-    def _renew_whole(self, now: float) -> None:
-        listened = self.read_listened()
-        for endpoint_id in listened:
-            at = self._whole_at_by_id.setdefault(endpoint_id, now)
-            if now - at < WHOLE_SECONDS:
+    def _queue_snapshots(self, now: float) -> None:
+        polled_ids = self.read_polled()
+        for endpoint_id in polled_ids:
+            snapshot_at = self._snapshot_at_by_id.setdefault(endpoint_id, now)
+            if now - snapshot_at < SNAPSHOT_INTERVAL_SECONDS:
                 continue
-            self._whole_at_by_id[endpoint_id] = now
-            whole = self._ledger.read_whole(endpoint_id)
-            if whole is not None:
-                self._take_change(whole)
-        for endpoint_id in self._whole_at_by_id.keys() - set(listened):
-            del self._whole_at_by_id[endpoint_id]
-
-    def _tell_here(self, entries: "_Entries") -> None:
-        changes = self._waiting_here.take()
+            self._snapshot_at_by_id[endpoint_id] = now
+            snapshot = self._ledger.read_whole(endpoint_id)
+            if snapshot is not None:
+                self._queue_change(snapshot)
+        for endpoint_id in self._snapshot_at_by_id.keys() - set(polled_ids):
+            del self._snapshot_at_by_id[endpoint_id]
+
+    def _send_to_data_centre(self, entries: "_Entries") -> None:
+        changes = self._queued_for_data_centre.pop_all()
         if not changes:
             return
-        notice = HoldingsNotice(changes=changes)
+        update = PrefixCacheUpdate(changes=changes)
         for entry in entries.by_data_centre.get(self._own.data_centre, ()):
-            self._peers.send(entry.control_address, notice)
+            self._peers.send(entry.control_address, update)
 
-    def _tell_near(self, entries: "_Entries") -> None:
-        changes = self._waiting_near.take()
+    def _send_to_region(self, entries: "_Entries") -> None:
+        changes = self._queued_for_region.pop_all()
         if not self._is_reporter(entries):
             changes = []
-        changes += self._waiting_passed.take()
+        changes += self._queued_for_forwarding.pop_all()
         if not changes:
             return
-        notice = HoldingsNotice(changes=changes, passes_on=True)
-        for data_centre, near in entries.by_data_centre.items():
+        update = PrefixCacheUpdate(
+            changes=changes, forward_to_data_centre=True
+        )
+        for data_centre, others in entries.by_data_centre.items():
             if data_centre != self._own.data_centre:
-                self._tell_one(near, notice)
+                self._send_to_one(others, update)
 
-    def _tell_regions(self, entries: "_Entries") -> None:
-        changes = self._waiting_there.take()
+    def _send_to_other_regions(self, entries: "_Entries") -> None:
+        changes = self._queued_for_other_regions.pop_all()
         if not changes or not self._is_reporter(entries):
             return
-        notice = HoldingsNotice(
-            changes=changes, passes_on=True, to_region=True
+        update = PrefixCacheUpdate(
+            changes=changes,
+            forward_to_data_centre=True,
+            forward_to_region=True,
         )
-        for there in entries.by_region.values():
-            self._tell_one(there, notice)
+        for remote_entries in entries.by_region.values():
+            self._send_to_one(remote_entries, update)
 
-    def _tell_one(
-        self, entries: list[VmIdentity], notice: HoldingsNotice
+    def _send_to_one(
+        self, entries: list[VmIdentity], update: PrefixCacheUpdate
     ) -> None:
-        """Tell one of some entries, another one each time.
+        """Send an update to a random entry of several.
 
-        One that is frozen or gone, and not known to be, swallows a part of
-        what is told and not all of it until membership notices.
+        Always choosing the same one would lose every update while it is
+        frozen or gone and membership has not noticed yet.
         """
         entry = self._rng.choice(entries)
-        self._peers.send(entry.control_address, notice)
+        self._peers.send(entry.control_address, update)
 
     def _is_reporter(self, entries: "_Entries") -> bool:
-        """Say whether this entry tells others for its data centre."""
-        here = entries.by_data_centre.get(self._own.data_centre, ())
-        ids = [self._own.vm_id, *(entry.vm_id for entry in here)]
+        """Return whether this entry publishes for its data centre."""
+        local_entries = entries.by_data_centre.get(self._own.data_centre, ())
+        ids = [self._own.vm_id, *(entry.vm_id for entry in local_entries)]
         return choose_by_hash(ids, self._own.data_centre, 1) == [
             self._own.vm_id
         ]
 
-    def _take_change(self, change: HeldChange) -> None:
-        """Have a change told, if it is for this entry to tell."""
-        told = self._only_shared(change)
-        if change.endpoint_id in self.read_listened():
-            self._waiting_here.add(told)
-        if self._is_told_from_here(change):
-            self._waiting_near.add(told)
-            self._waiting_there.add(_only_long(told))
+    def _queue_change(self, change: HeldChange) -> None:
+        """Queue a change of the table for the scopes it is sent to."""
+        shared_change = self._filter_shared(change)
+        if change.endpoint_id in self.read_polled():
+            self._queued_for_data_centre.add(shared_change)
+        if self._is_published_here(change):
+            self._queued_for_region.add(shared_change)
+            self._queued_for_other_regions.add(
+                _filter_cross_region(shared_change)
+            )
 
-    def _is_told_from_here(self, change: HeldChange) -> bool:
-        """Say whether an endpoint is for this data centre to tell of.
+    def _is_published_here(self, change: HeldChange) -> bool:
+        """Return whether this data centre publishes a change to others.
 
-        Where no entry is left beside an endpoint, those of the data centres
-        near it listen and tell.
+        Endpoints in a data centre without live entries are polled and
+        published from the other data centres of the region.
         """
         if change.data_centre == self._own.data_centre:
             return True
-        is_near = change.data_centre in self._near_data_centres
-        return is_near and change.data_centre not in self._occupied
+        is_in_region = change.data_centre in self._region_data_centres
+        return (
+            is_in_region
+            and change.data_centre not in self._data_centres_with_entries
+        )
 
-    def _only_shared(self, change: HeldChange) -> HeldChange:
+    def _filter_shared(self, change: HeldChange) -> HeldChange:
         tokens_by_part = {
             part_id: tokens
             for part_id, tokens in change.tokens_by_part.items()
@@ -276,76 +285,76 @@
         }
         return msgspec.structs.replace(change, tokens_by_part=tokens_by_part)
 
-    async def _take_notice(
-        self, sender: Sender, message: HoldingsNotice
+    async def _receive_update(
+        self, sender: Sender, message: PrefixCacheUpdate
     ) -> Message | None:
-        for change in self._take_all(message.changes):
-            if message.passes_on:
-                self._waiting_here.add(change)
-            if message.to_region:
-                self._waiting_passed.add(change)
+        for change in self._apply_all(message.changes):
+            if message.forward_to_data_centre:
+                self._queued_for_data_centre.add(change)
+            if message.forward_to_region:
+                self._queued_for_forwarding.add(change)
         return None
 
-    def _take_all(self, changes: list[HeldChange]) -> list[HeldChange]:
-        """Take in changes; return those that were news."""
+    def _apply_all(self, changes: list[HeldChange]) -> list[HeldChange]:
+        """Apply changes; return those that were not outdated."""
         now = self._clock.monotonic()
         for change in changes:
             for part_id in change.tokens_by_part:
                 self._shared.add(part_id)
         return [c for c in changes if self._ledger.take(c, now)]
 
-    async def _answer(
-        self, sender: Sender, message: HoldingsQuestion
+    async def _answer_query(
+        self, sender: Sender, message: PrefixCacheQuery
     ) -> Message | None:
-        known = map(self._ledger.read_whole, self._ledger.memories_by_id)
-        return HoldingsNotice(
-            changes=[self._only_shared(c) for c in known if c is not None]
+        known = map(self._ledger.read_whole, self._ledger.caches_by_id)
+        return PrefixCacheUpdate(
+            changes=[self._filter_shared(c) for c in known if c is not None]
         )
 
 
 @dataclass(kw_only=True)
 class _Entries:
-    """The other entries: those of this region, and of other regions."""
+    """The other entries, of this region and of other regions."""
 
     by_data_centre: dict[str, list[VmIdentity]] = field(default_factory=dict)
     by_region: dict[str, list[VmIdentity]] = field(default_factory=dict)
 
 
 class _Batch:
-    """The changes that wait to be told, one an endpoint."""
+    """The changes to send, merged into one for each endpoint."""
 
     def __init__(self) -> None:
         self._changes_by_id: dict[str, HeldChange] = {}
 
     def add(self, change: HeldChange) -> None:
-        """Add a change to what waits of its endpoint."""
-        is_news = change.tokens_by_part or change.whole or change.is_silent
-        if not is_news:
+        """Merge a change into the queued one of its endpoint."""
+        has_content = change.tokens_by_part or change.whole or change.is_silent
+        if not has_content:
             return
-        before = self._changes_by_id.get(change.endpoint_id)
-        is_same = before is not None and before.epoch == change.epoch
-        if before is not None and is_same and not change.whole:
+        queued = self._changes_by_id.get(change.endpoint_id)
+        is_same_epoch = queued is not None and queued.epoch == change.epoch
+        if queued is not None and is_same_epoch and not change.whole:
             change = msgspec.structs.replace(
                 change,
                 tokens_by_part={
-                    **before.tokens_by_part,
+                    **queued.tokens_by_part,
                     **change.tokens_by_part,
                 },
-                whole=before.whole,
+                whole=queued.whole,
             )
         self._changes_by_id[change.endpoint_id] = change
 
-    def take(self) -> list[HeldChange]:
-        """Return what waits; nothing waits any more."""
+    def pop_all(self) -> list[HeldChange]:
+        """Return and remove the queued changes."""
         changes = list(self._changes_by_id.values())
         self._changes_by_id.clear()
         return changes
 
 
-def _only_long(change: HeldChange) -> HeldChange:
+def _filter_cross_region(change: HeldChange) -> HeldChange:
     tokens_by_part = {
         part_id: tokens
         for part_id, tokens in change.tokens_by_part.items()
-        if not tokens or tokens >= MIN_FAR_TOKENS
+        if not tokens or tokens >= MIN_CROSS_REGION_TOKENS
     }
     return msgspec.structs.replace(change, tokens_by_part=tokens_by_part)
--- a/burdockdrum/holdings/source.py
+++ b/burdockdrum/holdings/source.py
@@ -1,4 +1,7 @@
-"""How endpoints are asked what they hold."""
+"""The interface that queries endpoints for their prefix caches.
+
+Deployments provide the implementation, as each engine has its own API.
+"""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -7,16 +10,16 @@
 
 
 class HoldingsUnknown(Exception):
-    """An endpoint gave no answer, or none that can be read."""
+    """An endpoint did not answer, or its answer could not be decoded."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class HeldEvents:
-    """What an endpoint says has changed.
+    """The changes of an endpoint's prefix cache since an event.
 
-    ``epoch`` is another one after its restart, ``number`` that of the last
-    event. ``has_gap`` says that some were lost. ``tokens_by_part`` are the
-    tokens that are held now of each part that changed.
+    ``epoch`` changes when the endpoint restarts; ``number`` is that of the
+    last event. ``has_gap`` means that events were lost. ``tokens_by_part``
+    has the tokens now cached of each part that changed.
     """
 
     epoch: int
@@ -27,17 +30,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HeldList:
-    """All that an endpoint holds, as of an event's number."""
+    """A snapshot of an endpoint's prefix cache as of an event number."""
 
     epoch: int
     number: int
     tokens_by_part: dict[str, int]
 
 
-class HoldingsSource(Protocol):
-    """Asks endpoints; a deployment's endpoints have their own calls.
+class PrefixCacheSource(Protocol):
+    """Queries endpoints for their prefix caches.
 
-    ``is_there`` says whether the endpoints of this deployment tell at all.
+    ``is_there`` is whether this deployment's endpoints report them at all.
     """
 
     is_there: bool
@@ -45,31 +48,31 @@
     async def read_events(
         self, endpoint: RegisteredEndpoint, since: int
     ) -> HeldEvents:
-        """Return what changed after an event; wait if nothing has yet.
+        """Return the changes after an event; may wait for the next one.
 
-        :raises HoldingsUnknown: if the endpoint does not say
+        :raises HoldingsUnknown: if the endpoint gives no usable answer
         """
         ...
 
     async def read_list(self, endpoint: RegisteredEndpoint) -> HeldList:
-        """Return all that an endpoint holds.
+        """Return a snapshot of an endpoint's prefix cache.
 
-        :raises HoldingsUnknown: if the endpoint does not say
+        :raises HoldingsUnknown: if the endpoint gives no usable answer
         """
         ...
 
 
-class NoSource:
-    """Endpoints that don't tell what they hold."""
+class NullSource:
+    """The source for endpoints that don't report their prefix caches."""
 
     is_there = False
 
     async def read_events(
         self, endpoint: RegisteredEndpoint, since: int
     ) -> HeldEvents:
-        """Know nothing."""
-        raise HoldingsUnknown("endpoints don't tell what they hold here")
+        """Raise ``HoldingsUnknown``."""
+        raise HoldingsUnknown("endpoints don't report their prefix caches")
 
     async def read_list(self, endpoint: RegisteredEndpoint) -> HeldList:
-        """Know nothing."""
-        raise HoldingsUnknown("endpoints don't tell what they hold here")
+        """Raise ``HoldingsUnknown``."""
+        raise HoldingsUnknown("endpoints don't report their prefix caches")
--- a/tests/holdings/__init__.py
+++ b/tests/holdings/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what is known of endpoints' memories."""
+"""Tests of the tracking of endpoints' prefix caches."""
--- a/tests/holdings/test_data_centres.py
+++ b/tests/holdings/test_data_centres.py
@@ -1,7 +1,7 @@
-"""Tests of what is known of endpoints in other data centres.
+"""Tests of publishing prefix caches between data centres.
 
-The pattern is that of a deployment whose regions have several data centres
-of many entries: an entry knows three entries of another data centre.
+Regions have several data centres with many entries each, and an entry knows
+only three entries of another data centre.
 """
 
 import asyncio
@@ -9,7 +9,7 @@
 
 from loguru import logger
 
-from burdockdrum.holdings.sharing import WHOLE_SECONDS
+from burdockdrum.holdings.sharing import SNAPSHOT_INTERVAL_SECONDS
 from burdockdrum.testing import run_virtual
 from tests.holdings.world import World
 
@@ -34,110 +34,112 @@
     run_virtual(main())
 
 
-def without(world, endpoint_id, part_id, prefix):
-    """Return the entries that don't know of a part at an endpoint."""
+def entries_missing(world, endpoint_id, part_id, prefix):
+    """Return the entries that don't know a part cached at an endpoint."""
     return [
         name
         for name, entry in world.entries.items()
-        if name.startswith(prefix) and part_id not in entry.held(endpoint_id)
+        if name.startswith(prefix)
+        and part_id not in entry.cached_parts(endpoint_id)
     ]
 
 
 class DataCentresTest(unittest.TestCase):
-    """Who knows what is held in another data centre, and when."""
+    """Propagation of changes to other data centres and regions."""
 
     def setUp(self):
         logger.disable("burdockdrum")
         self.addCleanup(logger.enable, "burdockdrum")
 
-    def test_region_knows_what_is_held_in_each_of_its_data_centres(self):
-        # A caller's prompt begins with a part that an endpoint of the data
-        # centre beside holds. The caller's entry is none of the three that
-        # are known there: nobody tells it, and the part is read again.
+    def test_change_reaches_all_entries_of_the_region(self):
+        # Guards against reaching only the three entries that are known in
+        # the other data centre: the rest would route as if nothing was cached.
         async def check(world):
             world.share("plan")
             await asyncio.sleep(1)
-            world.memories["n10"].put("plan", 4900)
+            world.caches["n10"].put("plan", 4900)
             await asyncio.sleep(2)
-            self.assertEqual([], without(world, "n10", "plan", "n"))
+            self.assertEqual([], entries_missing(world, "n10", "plan", "n"))
 
         play(check)
 
-    def test_each_entry_of_another_region_knows_of_long_parts(self):
-        # As before, with a data centre of another region: one entry there is
-        # told, and has to tell those of its region's other data centre.
+    def test_long_parts_reach_all_entries_of_another_region(self):
+        # The one entry that receives the update must forward it to the other
+        # data centre of its region as well.
         async def check(world):
             world.share("plan", "head")
             await asyncio.sleep(1)
-            world.memories["n10"].put("plan", 4900)
-            world.memories["n10"].put("head", 300)
+            world.caches["n10"].put("plan", 4900)
+            world.caches["n10"].put("head", 300)
             await asyncio.sleep(3.5)
-            self.assertEqual([], without(world, "n10", "plan", "s"))
+            self.assertEqual([], entries_missing(world, "n10", "plan", "s"))
             for name, entry in world.entries.items():
                 if name.startswith("s"):
-                    self.assertNotIn("head", entry.held("n10"))
-            world.memories["n10"].put("plan", 0)
+                    self.assertNotIn("head", entry.cached_parts("n10"))
+            world.caches["n10"].put("plan", 0)
             await asyncio.sleep(3.5)
             for entry in world.entries.values():
-                self.assertNotIn("plan", entry.held("n10"))
+                self.assertNotIn("plan", entry.cached_parts("n10"))
 
         play(check)
 
-    def test_endpoint_without_entries_beside_it_is_told_of(self):
-        # All entries of a data centre are lost; its endpoints go on. The
-        # entries of the data centre beside listen to them, and tell others.
+    def test_endpoint_of_data_centre_without_entries_is_published(self):
+        # All entries of a data centre are lost, but not its endpoints. The
+        # region's other data centre must poll and publish them.
         async def check(world):
             world.share("plan")
             for number in range(ENTRIES_EACH):
                 await world.stop(f"n1-{number}")
             await asyncio.sleep(2)
-            world.memories["n10"].put("plan", 4900)
+            world.caches["n10"].put("plan", 4900)
             await asyncio.sleep(4)
-            self.assertEqual([], without(world, "n10", "plan", "n2"))
-            self.assertEqual([], without(world, "n10", "plan", "s"))
+            self.assertEqual([], entries_missing(world, "n10", "plan", "n2"))
+            self.assertEqual([], entries_missing(world, "n10", "plan", "s"))
 
         play(check)
 
-    def test_entry_that_is_silent_is_made_up_for(self):
-        # One of the entries that a data centre is told through is frozen:
-        # what it is told goes no further. What is held is told anew.
+    def test_snapshots_repair_updates_lost_at_unreachable_entry(self):
+        # An entry that forwards to its data centre is unreachable, and an
+        # update sent to it is lost. The next snapshots must repair that.
         async def check(world):
             world.share("plan")
-            frozen = {e.vm_id for e in world.known_to(own_of(world, "n1-0"))}
+            frozen = {
+                e.vm_id for e in world.known_to(identity_of(world, "n1-0"))
+            }
             name = min(name for name in frozen if name.startswith("n2"))
             others = [n for n in world.entries if n != name]
             world.network.cut([name], others)
-            world.memories["n10"].put("plan", 4900)
-            await asyncio.sleep(WHOLE_SECONDS * 2)
-            missing = without(world, "n10", "plan", "n2")
+            world.caches["n10"].put("plan", 4900)
+            await asyncio.sleep(SNAPSHOT_INTERVAL_SECONDS * 2)
+            missing = entries_missing(world, "n10", "plan", "n2")
             self.assertLessEqual(set(missing), {name})
 
         play(check)
 
     def test_bytes_between_data_centres_do_not_grow_with_entries(self):
-        # Each change crosses once to each data centre beside, and once to
-        # each other region, however many entries there are.
+        # Each change is sent once to each other data centre of the region
+        # and once to each other region, however many entries there are.
         async def check(world):
-            crossed = count_crossings(world)
+            crossed = record_crossings(world)
             world.share("plan")
             await asyncio.sleep(1)
             for tokens in range(4900, 4910):
-                world.memories["n10"].put("plan", tokens)
+                world.caches["n10"].put("plan", tokens)
                 await asyncio.sleep(1)
-            # Ten changes to one data centre beside and one region, which
-            # passes them on to its second data centre; and whole memories.
+            # Ten changes to one data centre and one region, which forwards
+            # them to its second data centre; and snapshots.
             self.assertLessEqual(len(crossed), 60)
 
         play(check)
 
 
-def own_of(world, name):
-    """Return an entry's identity."""
+def identity_of(world, name):
+    """Return the identity of an entry."""
     return world.entries[name].identity
 
 
-def count_crossings(world):
-    """Return a list that grows with notices to other data centres."""
+def record_crossings(world):
+    """Return a list that records each message between data centres."""
     crossed = []
     for name, entry in world.entries.items():
         send = entry.sharing._peers.send
--- a/tests/holdings/test_ledger.py
+++ b/tests/holdings/test_ledger.py
@@ -1,4 +1,4 @@
-"""Tests of what endpoints have said that they hold."""
+"""Tests of the table of cached prefixes."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 def make(number, tokens_by_part, *, endpoint_id="a", epoch=1, whole=False):
-    """Return a change of an endpoint's memory."""
+    """Return a change of an endpoint's prefix cache."""
     return HeldChange(
         endpoint_id=endpoint_id,
         address=f"{endpoint_id}:80",
@@ -40,54 +40,55 @@
 
 
 class LedgerTest(unittest.TestCase):
-    """Changes in and out of order."""
+    """Changes that arrive in and out of order."""
 
     def setUp(self):
         self.ledger = HoldingsLedger()
 
-    def held(self, endpoint_id="a"):
-        memory = self.ledger.find(endpoint_id)
-        return memory.tokens_by_part if memory else None
+    def cached_parts(self, endpoint_id="a"):
+        cache = self.ledger.find(endpoint_id)
+        return cache.tokens_by_part if cache else None
 
     def test_parts_come_and_go(self):
         self.ledger.take(make(1, {"p": 4000, "q": 500}), 1.0)
         self.ledger.take(make(3, {"q": 0, "r": 700}), 2.0)
-        self.assertEqual({"p": 4000, "r": 700}, self.held())
-        [memory] = self.ledger.holders("r")
-        self.assertEqual(("a", 2.0), (memory.endpoint_id, memory.heard_at))
+        self.assertEqual({"p": 4000, "r": 700}, self.cached_parts())
+        [cache] = self.ledger.holders("r")
+        self.assertEqual(("a", 2.0), (cache.endpoint_id, cache.received_at))
         self.assertEqual([], list(self.ledger.holders("q")))
 
-    def test_late_change_undoes_nothing(self):
-        # Two entries tell of the same endpoint; what was told first by one
-        # arrives after what the other has told.
+    def test_late_change_is_ignored(self):
+        # Two entries report the same endpoint, and an older change arrives
+        # after a newer one.
         self.ledger.take(make(5, {"p": 0, "q": 500}), 1.0)
         self.assertFalse(self.ledger.take(make(4, {"p": 4000}), 2.0))
         self.assertFalse(self.ledger.take(make(5, {"p": 4000}), 2.0))
-        self.assertEqual({"q": 500}, self.held())
+        self.assertEqual({"q": 500}, self.cached_parts())
 
-    def test_whole_memory_mends_what_was_lost(self):
+    def test_snapshot_repairs_lost_changes(self):
         self.ledger.take(make(5, {"p": 4000, "q": 500}), 1.0)
         whole = make(5, {"q": 500, "r": 1}, whole=True)
         self.assertTrue(self.ledger.take(whole, 2.0))
-        self.assertEqual({"q": 500, "r": 1}, self.held())
+        self.assertEqual({"q": 500, "r": 1}, self.cached_parts())
 
-    def test_other_epoch_is_an_empty_memory(self):
-        # The endpoint restarted: its numbers begin anew, and nothing is left.
+    def test_new_epoch_empties_the_cache(self):
+        # After a restart of the endpoint, event numbers start again from one;
+        # its changes must not be ignored as old.
         self.ledger.take(make(50, {"p": 4000}), 1.0)
         self.ledger.take(make(1, {"q": 500}, epoch=2), 2.0)
-        self.assertEqual({"q": 500}, self.held())
+        self.assertEqual({"q": 500}, self.cached_parts())
 
-    def test_endpoint_that_is_gone_holds_nothing(self):
+    def test_stale_endpoint_is_removed_from_holders(self):
         self.ledger.take(make(1, {"p": 4000}), 1.0)
         self.ledger.take(make(1, {"p": 4000}, endpoint_id="b"), 5.0)
-        self.ledger.forget_unheard(3.0, {"c"})
+        self.ledger.forget_stale(3.0, {"c"})
         self.assertEqual(
             ["b"], [m.endpoint_id for m in self.ledger.holders("p")]
         )
 
     @drawn(200)
     @given(CHANGES)
-    def test_holders_are_those_that_hold(self, changes):
+    def test_index_of_holders_matches_the_caches(self, changes):
         ledger = HoldingsLedger()
         for now, change in enumerate(changes):
             ledger.take(change, float(now))
@@ -95,7 +96,7 @@
             holders = {m.endpoint_id for m in ledger.holders(part_id)}
             expected = {
                 endpoint_id
-                for endpoint_id, memory in ledger.memories_by_id.items()
-                if part_id in memory.tokens_by_part
+                for endpoint_id, cache in ledger.caches_by_id.items()
+                if part_id in cache.tokens_by_part
             }
             self.assertEqual(expected, holders)
--- a/tests/holdings/test_sharing.py
+++ b/tests/holdings/test_sharing.py
@@ -1,11 +1,11 @@
-"""Tests of entries that listen to endpoints and tell each other."""
+"""Tests of polling endpoints and sharing their prefix caches."""
 
 import asyncio
 import unittest
 
 from loguru import logger
 
-from burdockdrum.holdings.sharing import WHOLE_SECONDS
+from burdockdrum.holdings.sharing import SNAPSHOT_INTERVAL_SECONDS
 from burdockdrum.testing import run_virtual
 from tests.holdings.world import World
 
@@ -28,228 +28,229 @@
 
 
 class HoldingsSharingTest(unittest.TestCase):
-    """Who asks whom, who knows what, and when."""
+    """Polling, propagation and recovery among a few entries."""
 
     def setUp(self):
         logger.disable("burdockdrum")
         self.addCleanup(logger.enable, "burdockdrum")
 
-    def test_region_knows_what_an_endpoint_holds_within_two_seconds(self):
-        # A prompt that others begin with is read somewhere. Whichever entry
-        # gets the next one knows where; nobody else was asked.
+    def test_change_reaches_the_region_within_two_seconds(self):
+        # Otherwise an entry would route a prompt with this prefix to an
+        # endpoint that has to compute it again.
         async def check(world):
             world.share("plan")
             await asyncio.sleep(1)
-            world.memories["n0"].put("plan", 4900)
+            world.caches["n0"].put("plan", 4900)
             await asyncio.sleep(2)
             for name in ("n-a", "n-b", "n-c"):
                 entry = world.entries[name]
-                self.assertEqual({"plan": 4900}, dict(entry.held("n0")))
+                self.assertEqual(
+                    {"plan": 4900}, dict(entry.cached_parts("n0"))
+                )
 
         play(check)
 
-    def test_other_region_knows_of_long_parts(self):
+    def test_only_long_parts_reach_another_region(self):
         async def check(world):
             world.share("plan", "head")
             await asyncio.sleep(1)
-            world.memories["n0"].put("plan", 4900)
-            world.memories["n0"].put("head", 300)
+            world.caches["n0"].put("plan", 4900)
+            world.caches["n0"].put("head", 300)
             await asyncio.sleep(3.5)
             for name in ("s-a", "s-b", "s-c"):
                 entry = world.entries[name]
-                self.assertEqual({"plan": 4900}, dict(entry.held("n0")))
-                memory = entry.ledger.find("n0")
-                self.assertEqual("n-dc", memory.data_centre)
-            world.memories["n0"].put("plan", 0)
+                self.assertEqual(
+                    {"plan": 4900}, dict(entry.cached_parts("n0"))
+                )
+                cache = entry.ledger.find("n0")
+                self.assertEqual("n-dc", cache.data_centre)
+            world.caches["n0"].put("plan", 0)
             await asyncio.sleep(3.5)
             for name in NAMES:
-                held = world.entries[name].held("n0")
-                self.assertNotIn("plan", held)
+                cached = world.entries[name].cached_parts("n0")
+                self.assertNotIn("plan", cached)
 
         play(check)
 
-    def test_what_belongs_to_one_request_is_not_told(self):
-        # More than half of what an endpoint holds never comes again.
+    def test_parts_of_a_single_request_are_not_published(self):
+        # Most cached parts never recur; publishing them wastes bandwidth.
         async def check(world):
-            memory = world.memories["n0"]
+            cache = world.caches["n0"]
             for number in range(100):
-                memory.put(f"own-{number}", 3000)
+                cache.put(f"own-{number}", 3000)
             await asyncio.sleep(3)
-            told = sum(
-                "own-1" in world.entries[name].held("n0")
+            count = sum(
+                "own-1" in world.entries[name].cached_parts("n0")
                 for name in ("n-a", "n-b", "n-c")
             )
-            self.assertEqual(1, told)
+            self.assertEqual(1, count)
 
         play(check)
 
-    def test_part_that_turns_out_to_be_shared_is_told_then(self):
-        # The entry that listens has just started and does not know the
-        # prompts; the first one that names the part is enough.
+    def test_part_is_published_once_it_is_found_to_be_shared(self):
+        # The polling entry sees the cached part before it sees any prompt
+        # that shares it.
         async def check(world):
-            world.memories["n0"].put("plan", 4900)
+            world.caches["n0"].put("plan", 4900)
             await asyncio.sleep(2)
             for name in ("n-a", "n-b", "n-c"):
                 world.entries[name].sharing.note_shared("plan")
             await asyncio.sleep(1)
             for name in ("n-a", "n-b", "n-c"):
-                self.assertIn("plan", world.entries[name].held("n0"))
+                self.assertIn("plan", world.entries[name].cached_parts("n0"))
 
         play(check)
 
-    def test_each_endpoint_is_asked_by_one_entry_once_a_second(self):
+    def test_each_endpoint_is_polled_by_one_entry_once_a_second(self):
         async def check(world):
-            memory = world.memories["n0"]
-            before = memory.asked
+            cache = world.caches["n0"]
+            before = cache.queries
             for number in range(100):
-                memory.put("plan", 100 + number)
+                cache.put("plan", 100 + number)
                 await asyncio.sleep(0.1)
-            self.assertLessEqual(memory.asked - before, 11)
-            self.assertGreaterEqual(memory.asked - before, 9)
-            self.assertEqual(1, memory.listed)
+            self.assertLessEqual(cache.queries - before, 11)
+            self.assertGreaterEqual(cache.queries - before, 9)
+            self.assertEqual(1, cache.snapshots)
 
         play(check)
 
-    def test_gap_and_restart_are_followed_by_a_list(self):
-        # The endpoint keeps its newest events only; then it starts again
-        # with an empty memory under the same id.
+    def test_gap_and_restart_are_followed_by_a_snapshot(self):
+        # The endpoint drops old events, then restarts with an empty cache
+        # under the same id. Either must not leave stale parts in the table.
         async def check(world):
             world.share("plan", "next")
-            memory = world.memories["n0"]
-            memory.kept = 2
+            cache = world.caches["n0"]
+            cache.max_events = 2
             await asyncio.sleep(1)
-            memory.put("plan", 4900)
+            cache.put("plan", 4900)
             for number in range(5):
-                memory.put("other", number + 1)
+                cache.put("other", number + 1)
             await asyncio.sleep(2)
-            self.assertIn("plan", world.entries["n-a"].held("n0"))
-            memory.restart()
-            memory.put("next", 700)
+            self.assertIn("plan", world.entries["n-a"].cached_parts("n0"))
+            cache.restart()
+            cache.put("next", 700)
             await asyncio.sleep(3)
-            held = world.entries["n-b"].held("n0")
-            self.assertEqual({"next": 700}, dict(held))
+            cached = world.entries["n-b"].cached_parts("n0")
+            self.assertEqual({"next": 700}, dict(cached))
 
         play(check)
 
-    def test_entry_that_starts_asks_its_neighbours(self):
-        # One entry restarts: it knows what the others know before anything
-        # changes, and no endpoint had to list its memory again.
+    def test_restarted_entry_loads_the_table_of_another(self):
+        # It must not wait for changes, nor query snapshots from endpoints.
         async def check(world):
             world.share("plan")
             for name in ("n0", "n1", "s0"):
-                world.memories[name].put("plan", 4900)
+                world.caches[name].put("plan", 4900)
             await asyncio.sleep(4)
-            listed = {n: m.listed for n, m in world.memories.items()}
+            snapshots = {n: m.snapshots for n, m in world.caches.items()}
             await world.stop("n-b")
             await world.start("n-b")
             await asyncio.sleep(0.5)
             for name in ("n0", "n1", "s0"):
-                self.assertIn("plan", world.entries["n-b"].held(name))
+                self.assertIn("plan", world.entries["n-b"].cached_parts(name))
             await asyncio.sleep(3)
-            again = {n: m.listed for n, m in world.memories.items()}
-            self.assertEqual(listed, again)
+            again = {n: m.snapshots for n, m in world.caches.items()}
+            self.assertEqual(snapshots, again)
 
         play(check)
 
-    def test_listener_that_is_gone_is_replaced(self):
-        # The entry that asks n0 ends. Another one goes on from the event
-        # that it was told of.
+    def test_successor_continues_from_the_last_event(self):
+        # The entry that polls n0 ends. Another one must take over without
+        # querying a snapshot.
         async def check(world):
             world.share("plan", "next")
-            world.memories["n0"].put("plan", 4900)
+            world.caches["n0"].put("plan", 4900)
             await asyncio.sleep(2)
             gone = next(
                 name
                 for name, entry in world.entries.items()
-                if "n0" in entry.listener.endpoint_ids
+                if "n0" in entry.poller.endpoint_ids
             )
             await world.stop(gone)
             for entry in world.entries.values():
                 entry.sharing.note_shared("next")
-            world.memories["n0"].put("next", 700)
+            world.caches["n0"].put("next", 700)
             await asyncio.sleep(3)
             for name, entry in world.entries.items():
                 if name.startswith("n"):
-                    self.assertIn("next", entry.held("n0"))
-            self.assertEqual(1, world.memories["n0"].listed)
+                    self.assertIn("next", entry.cached_parts("n0"))
+            self.assertEqual(1, world.caches["n0"].snapshots)
 
         play(check)
 
-    def test_full_stop_is_followed_by_one_list_an_endpoint(self):
-        # All entries are killed; the endpoints kept what they hold. Half a
-        # second after the start it is known again: nobody has to wait for
-        # the next prompt to be read twice.
+    def test_restart_of_all_entries_needs_one_snapshot_an_endpoint(self):
+        # All entries are killed, and the endpoints keep their caches. These
+        # must be known again soon after the start.
         async def check(world):
             for name in list(world.entries):
                 await world.stop(name)
-            for memory in world.memories.values():
-                memory.put("plan", 4900)
-                memory.listed = 0
+            for cache in world.caches.values():
+                cache.put("plan", 4900)
+                cache.snapshots = 0
             for name in NAMES:
                 await world.start(name)
             await asyncio.sleep(1.5)
-            listed = [m.listed for m in world.memories.values()]
-            self.assertEqual([1, 1, 1, 1], listed)
+            snapshots = [m.snapshots for m in world.caches.values()]
+            self.assertEqual([1, 1, 1, 1], snapshots)
             holding = [
                 entry
                 for entry in world.entries.values()
-                if "plan" in entry.held("n0")
+                if "plan" in entry.cached_parts("n0")
             ]
             self.assertEqual(1, len(holding))
 
         play(check)
 
-    def test_lost_notice_is_made_up_for(self):
-        # A cut swallows what the listener told one neighbour.
+    def test_snapshots_repair_a_lost_update(self):
+        # A partition drops an update on its way to one entry.
         async def check(world):
             world.share("plan")
-            listener = next(
+            poller = next(
                 name
                 for name, entry in world.entries.items()
-                if "n0" in entry.listener.endpoint_ids
+                if "n0" in entry.poller.endpoint_ids
             )
-            other = next(n for n in ("n-a", "n-b", "n-c") if n != listener)
-            world.network.cut([listener], [other])
-            world.memories["n0"].put("plan", 4900)
+            other = next(n for n in ("n-a", "n-b", "n-c") if n != poller)
+            world.network.cut([poller], [other])
+            world.caches["n0"].put("plan", 4900)
             await asyncio.sleep(2)
-            world.network.heal([listener], [other])
-            await asyncio.sleep(WHOLE_SECONDS + 1)
-            self.assertIn("plan", world.entries[other].held("n0"))
+            world.network.heal([poller], [other])
+            await asyncio.sleep(SNAPSHOT_INTERVAL_SECONDS + 1)
+            self.assertIn("plan", world.entries[other].cached_parts("n0"))
 
         play(check)
 
-    def test_silent_endpoint_is_asked_rarely_and_keeps_its_memory(self):
+    def test_cache_of_unreachable_endpoint_is_kept(self):
         async def check(world):
             world.share("plan")
-            memory = world.memories["n0"]
-            memory.put("plan", 4900)
+            cache = world.caches["n0"]
+            cache.put("plan", 4900)
             await asyncio.sleep(2)
-            memory.is_silent = True
+            cache.is_unreachable = True
             await asyncio.sleep(10)
-            self.assertIn("plan", world.entries["n-a"].held("n0"))
-            memory.is_silent = False
-            memory.put("plan", 0)
+            self.assertIn("plan", world.entries["n-a"].cached_parts("n0"))
+            cache.is_unreachable = False
+            cache.put("plan", 0)
             await asyncio.sleep(4)
-            self.assertNotIn("plan", world.entries["n-a"].held("n0"))
+            self.assertNotIn("plan", world.entries["n-a"].cached_parts("n0"))
 
         play(check)
 
-    def test_endpoint_that_gives_no_answer_is_told_of(self):
-        # It crashes with all that it holds. Entries that have sent it
-        # nothing don't know; they would have others fetch from it, and each
-        # fetch would wait for an address that does not answer.
+    def test_unreachable_endpoint_is_published(self):
+        # Otherwise entries would have endpoints fetch prefixes from a crashed
+        # one, and each fetch would wait for its timeout.
         async def check(world):
             world.share("plan")
-            memory = world.memories["n0"]
-            memory.put("plan", 4900)
+            cache = world.caches["n0"]
+            cache.put("plan", 4900)
             await asyncio.sleep(4)
-            memory.is_silent = True
-            memory.put("plan", 4900)
+            cache.is_unreachable = True
+            cache.put("plan", 4900)
             await asyncio.sleep(4)
             for name in NAMES:
                 known = world.entries[name].ledger.find("n0")
                 self.assertTrue(known.is_silent, name)
-            memory.is_silent = False
+            cache.is_unreachable = False
             await asyncio.sleep(5)
             for name in NAMES:
                 known = world.entries[name].ledger.find("n0")
@@ -258,10 +259,10 @@
 
         play(check)
 
-    def test_lone_entry_of_a_region_begins_by_itself(self):
+    def test_single_entry_starts_without_others(self):
         async def check(world):
-            world.memories["n0"].put("plan", 4900)
+            world.caches["n0"].put("plan", 4900)
             await asyncio.sleep(2)
-            self.assertIn("plan", world.entries["n-a"].held("n0"))
+            self.assertIn("plan", world.entries["n-a"].cached_parts("n0"))
 
         play(check, names=("n-a",))
--- a/tests/holdings/world.py
+++ b/tests/holdings/world.py
@@ -1,4 +1,4 @@
-"""Entries of some data centres that listen to endpoints, for tests."""
+"""Simulated entries that poll endpoints and share their prefix caches."""
 
 import asyncio
 import random
@@ -6,9 +6,9 @@
 from burdockdrum.holdings import HeldEvents
 from burdockdrum.holdings import HeldList
 from burdockdrum.holdings import HoldingsLedger
-from burdockdrum.holdings import HoldingsListener
 from burdockdrum.holdings import HoldingsSharing
 from burdockdrum.holdings import HoldingsUnknown
+from burdockdrum.holdings import PrefixCachePoller
 from burdockdrum.holdings import SharedParts
 from burdockdrum.metrics import Metrics
 from burdockdrum.peers import Peers
@@ -20,25 +20,25 @@
 from burdockdrum.vms import choose_by_hash
 from tests.passthrough.fakes import make_endpoint
 
-CALL_SECONDS = 0.001
-WAIT_SECONDS = 1.0
+CALL_DELAY_SECONDS = 0.001
+LONG_POLL_SECONDS = 1.0
 
 
-class FakeMemory:
-    """The memory of one endpoint, and the questions that it was asked."""
+class FakeCache:
+    """The prefix cache of one endpoint; counts the queries it receives."""
 
     def __init__(self):
-        """Hold nothing."""
+        """Create an empty cache."""
         self.epoch = 1
         self.events = []
         self.tokens_by_part = {}
-        self.is_silent = False
-        self.asked = 0
-        self.listed = 0
-        self.kept = 1000
+        self.is_unreachable = False
+        self.queries = 0
+        self.snapshots = 0
+        self.max_events = 1000
 
     def put(self, part_id, tokens):
-        """Hold so many tokens of a part, 0 for none."""
+        """Cache so many tokens of a part; 0 evicts it."""
         self.events.append((part_id, tokens))
         if tokens:
             self.tokens_by_part[part_id] = tokens
@@ -46,55 +46,55 @@
             self.tokens_by_part.pop(part_id, None)
 
     def restart(self):
-        """Lose everything."""
+        """Empty the cache and start a new epoch."""
         self.epoch += 1
         self.events.clear()
         self.tokens_by_part.clear()
 
 
 class FakeSource:
-    """Endpoints that tell what they hold."""
+    """A source that reads the fake caches."""
 
     is_there = True
 
-    def __init__(self, memories):
-        """Create it over memories by endpoint id."""
-        self.memories = memories
+    def __init__(self, caches):
+        """Create it for caches by endpoint id."""
+        self.caches = caches
 
     async def read_events(self, endpoint, since):
-        """Wait for events as an endpoint does."""
-        memory = await self._call(endpoint)
-        memory.asked += 1
-        if len(memory.events) <= since:
-            await asyncio.sleep(WAIT_SECONDS)
-        first = max(since, len(memory.events) - memory.kept)
+        """Return the events since a number; wait if there are none."""
+        cache = await self._call(endpoint)
+        cache.queries += 1
+        if len(cache.events) <= since:
+            await asyncio.sleep(LONG_POLL_SECONDS)
+        first = max(since, len(cache.events) - cache.max_events)
         return HeldEvents(
-            epoch=memory.epoch,
-            number=len(memory.events),
+            epoch=cache.epoch,
+            number=len(cache.events),
             has_gap=first > since,
-            tokens_by_part=dict(memory.events[first:]),
+            tokens_by_part=dict(cache.events[first:]),
         )
 
     async def read_list(self, endpoint):
-        """Return everything."""
-        memory = await self._call(endpoint)
-        memory.listed += 1
+        """Return a snapshot of the cache."""
+        cache = await self._call(endpoint)
+        cache.snapshots += 1
         return HeldList(
-            epoch=memory.epoch,
-            number=len(memory.events),
-            tokens_by_part=dict(memory.tokens_by_part),
+            epoch=cache.epoch,
+            number=len(cache.events),
+            tokens_by_part=dict(cache.tokens_by_part),
         )
 
     async def _call(self, endpoint):
-        await asyncio.sleep(CALL_SECONDS)
-        memory = self.memories[endpoint.endpoint_id]
-        if memory.is_silent:
-            raise HoldingsUnknown("silent")
-        return memory
+        await asyncio.sleep(CALL_DELAY_SECONDS)
+        cache = self.caches[endpoint.endpoint_id]
+        if cache.is_unreachable:
+            raise HoldingsUnknown("unreachable")
+        return cache
 
 
 class Entry:
-    """One entry's part."""
+    """One entry with its poller and its table."""
 
     def __init__(self, world, name):
         """Create an entry that has not started."""
@@ -111,7 +111,7 @@
         self.metrics = Metrics()
 
     async def start(self):
-        """Start."""
+        """Start the services of the entry."""
         world, own = self.world, self.identity
         address = own.control_address
         self.peers = Peers(
@@ -129,15 +129,15 @@
             rng=world.rng,
             ledger=self.ledger,
             shared=SharedParts(),
-            near_data_centres=frozenset(
+            region_data_centres=frozenset(
                 name for name in world.data_centres if name[0] == own.region
             ),
             read_entries=lambda: world.known_to(own),
         )
-        self.listener = HoldingsListener(
+        self.poller = PrefixCachePoller(
             own=own,
             clock=world.clock,
-            source=FakeSource(world.memories),
+            source=FakeSource(world.caches),
             ledger=self.ledger,
             read_endpoints=lambda: {
                 name: endpoint
@@ -147,28 +147,28 @@
             read_entries=lambda: [
                 e for e in world.known_to(own) if e.region == own.region
             ],
-            holds_prompts=lambda service: service == "model",
-            learned=self.sharing.learned,
+            has_prefix_cache=lambda service: service == "model",
+            initial_sync_done=self.sharing.initial_sync_done,
         )
-        self.sharing.read_listened = lambda: self.listener.endpoint_ids
+        self.sharing.read_polled = lambda: self.poller.endpoint_ids
         self.task = asyncio.create_task(self._run())
 
     async def stop(self):
-        """End at once."""
+        """Stop at once, as if killed."""
         self.task.cancel()
         await asyncio.wait({self.task})
 
-    def held(self, endpoint_id):
-        """Return what this entry knows of a memory."""
-        memory = self.ledger.find(endpoint_id)
-        return memory.tokens_by_part if memory is not None else {}
+    def cached_parts(self, endpoint_id):
+        """Return the parts that this entry knows to be cached."""
+        cache = self.ledger.find(endpoint_id)
+        return cache.tokens_by_part if cache is not None else {}
 
     async def _run(self):
         try:
             async with asyncio.TaskGroup() as group:
                 group.create_task(self.peers.run())
                 group.create_task(self.sharing.run())
-                group.create_task(self.listener.run())
+                group.create_task(self.poller.run())
         finally:
             await self.peers.close()
 
@@ -176,25 +176,25 @@
 class World:
     """Data centres of two regions, with two endpoints each.
 
-    A name begins with the letter of its region. An entry knows all others
-    of its data centre, and a few of each other one.
+    The first letter of a name is its region. An entry knows all others of
+    its data centre and a few of each other data centre.
     """
 
-    def __init__(self, data_centres=("n-dc", "s-dc"), known_elsewhere=3):
+    def __init__(self, data_centres=("n-dc", "s-dc"), known_per_data_centre=3):
         """Create entries that are not started."""
         self.clock = VirtualClock()
         self.rng = random.Random(1)
         self.network = FakeNetwork(rng=random.Random(1))
         self.network.set_default(delay=0.001)
         self.data_centres = data_centres
-        self.known_elsewhere = known_elsewhere
+        self.known_per_data_centre = known_per_data_centre
         self.incarnation = 0
-        self.memories = {}
+        self.caches = {}
         self.endpoints = {}
         for data_centre in data_centres:
             for number in range(2):
                 name = f"{data_centre.removesuffix('-dc')}{number}"
-                self.memories[name] = FakeMemory()
+                self.caches[name] = FakeCache()
                 self.endpoints[name] = make_endpoint(
                     name, data_centre=data_centre
                 )
@@ -206,7 +206,7 @@
         return self.incarnation
 
     def data_centre_of(self, name):
-        """Return where the entry of a name is."""
+        """Return the data centre of an entry."""
         return f"{name.rpartition('-')[0]}-dc"
 
     def known_to(self, own):
@@ -221,25 +221,25 @@
             ids = list(by_id)
             if data_centre != own.data_centre:
                 ids = choose_by_hash(
-                    ids, own.data_centre, self.known_elsewhere
+                    ids, own.data_centre, self.known_per_data_centre
                 )
             known += [by_id[name] for name in ids]
         return known
 
     async def start(self, name):
-        """Start an entry, with nothing in memory."""
+        """Start an entry with an empty table."""
         entry = Entry(self, name)
         await entry.start()
         self.entries[name] = entry
 
     async def stop(self, name):
-        """End an entry at once."""
+        """Stop an entry at once, as if killed."""
         await self.entries.pop(name).stop()
 
     def share(self, *part_ids):
-        """Have all hear of prompts that share parts.
+        """Mark parts as shared at all entries.
 
-        Entries tell each other which parts they have sent where.
+        In a deployment, entries learn this from each other's load reports.
         """
         for entry in self.entries.values():
             for part_id in part_ids:
