--- a/burdockdrum/registrations/__init__.py
+++ b/burdockdrum/registrations/__init__.py
@@ -1,9 +1,8 @@
-"""Endpoints that check in at control VMs, as entries follow them.
+"""The registry of endpoints: check-ins, their distribution, and loads.
 
-An endpoint may check in at any control VM. Each control VM tells what it
-heard itself to every entry, and nothing to the other control VMs: an entry
-that reaches the control VM an endpoint speaks to knows what it said, and no
-agreement is needed for what the next check-in renews anyway.
+An endpoint checks in at any control VM, and each control VM publishes its own
+check-ins to every entry. Control VMs don't replicate them to each other: the
+next check-in renews the state anyway, so no consensus is needed.
 """
 
 from burdockdrum.registrations.book import RegistrationBook
--- a/burdockdrum/registrations/book.py
+++ b/burdockdrum/registrations/book.py
@@ -1,4 +1,8 @@
-"""What one control VM has heard from endpoints."""
+"""The registrations of endpoints that one control VM has received.
+
+Orders check-ins that arrive late or out of order, and detects endpoints that
+stop checking in.
+"""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -10,61 +14,61 @@
 from burdockdrum.ports import Clock
 from burdockdrum.registrations.messages import Registration
 from burdockdrum.registrations.messages import RegistrationState
+from burdockdrum.registrations.starts import LatestIncarnations
 from burdockdrum.registrations.starts import name_start
-from burdockdrum.registrations.starts import NewestStarts
 from burdockdrum.registrations.starts import UNKNOWN_START
 
-# Endpoints check in every 1.2 s, and a check-in may come seconds late.
-SILENT_SECONDS = 4.5
-# How long a silent one may come back before it is forgotten: a cut lasts
-# for some seconds, and another control VM may hear it meanwhile.
-FORGET_SECONDS = 30.0
-# Late check-ins of an ended start arrive within seconds of its end.
-KEEP_GONE_SECONDS = 120.0
-# The data centre of an endpoint of which only its end is known.
-ANYWHERE = ""
+# Endpoints check in every 1.2 s, and a check-in may be seconds late.
+CHECK_IN_TIMEOUT_SECONDS = 4.5
+# An unreachable endpoint is kept for so long: partitions often heal within
+# seconds, and it may be checking in at another control VM.
+EXPIRY_SECONDS = 30.0
+# Outlasts late check-ins of an ended incarnation, which must not revive it.
+TOMBSTONE_SECONDS = 120.0
+# The data centre of an endpoint of which only the end is known.
+ANY_DATA_CENTRE = ""
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Entry:
+class _Record:
     registration: Registration
     serial: int
-    heard_at: float
+    received_at: float
     changed_at: float
 
 
 class RegistrationBook:
-    """The registrations by endpoint id, each change with a serial."""
+    """The registrations by endpoint id; each change gets a new serial."""
 
     def __init__(self, *, clock: Clock) -> None:
-        """Create an empty book."""
+        """Create an empty table."""
         self.serial = 0
         self.listeners: list[Callable[[Registration], None]] = []
         self._clock = clock
-        self._entries_by_id: dict[str, _Entry] = {}
+        self._records_by_id: dict[str, _Record] = {}
         self._newest_id_by_address: dict[str, str] = {}
-        self._starts = NewestStarts()
+        self._incarnations = LatestIncarnations()
 
     def take(self, registration: Registration) -> bool:
-        """Take in a check-in.
+        """Apply a check-in.
 
-        :returns: whether it is the newest of its endpoint
+        :returns: False if it is outdated and was ignored
         """
         name, born = registration.known_as, registration.born
-        if self._starts.is_former(name, born):
+        if self._incarnations.is_outdated(name, born):
             return False
-        known = self._entries_by_id.get(registration.endpoint_id)
+        known = self._records_by_id.get(registration.endpoint_id)
         if known is not None and not _is_newer(registration, known):
             return False
-        if known is None and self._is_replaced(registration):
+        if known is None and self._is_superseded(registration):
             return False
-        if self._starts.take(name, born):
-            for former in self._starts_of(name):
-                self._set_state(former, RegistrationState.GONE)
+        if self._incarnations.observe(name, born):
+            for previous in self._incarnations_of(name):
+                self._set_state(previous, RegistrationState.GONE)
         now = self._clock.monotonic()
-        if known is not None and _says_the_same(registration, known):
-            self._entries_by_id[registration.endpoint_id] = replace(
-                known, registration=registration, heard_at=now
+        if known is not None and _is_unchanged(registration, known):
+            self._records_by_id[registration.endpoint_id] = replace(
+                known, registration=registration, received_at=now
             )
             return True
         self._newest_id_by_address[registration.address] = (
@@ -74,22 +78,22 @@
         return True
 
     def end(self, name: str, born: int = UNKNOWN_START) -> bool:
-        """Take in that an endpoint has ended, or ends without a notice.
+        """Mark an endpoint as ended.
 
-        It may have checked in at another control VM. So the end of an unknown
-        one is kept as well, and told in every region.
+        It may have checked in at another control VM, so the end of an unknown
+        endpoint is recorded as well and published in every region.
 
-        :param name: the id that the endpoint goes by
-        :param born: the start that ends; unknown, whichever there is
+        :param name: the id that the endpoint reports
+        :param born: the incarnation that ends; if unknown, all of them
         :returns: whether it was known
         """
         ending = [
-            entry
-            for entry in self._starts_of(name)
-            if born in (UNKNOWN_START, entry.registration.born)
+            record
+            for record in self._incarnations_of(name)
+            if born in (UNKNOWN_START, record.registration.born)
         ]
-        for entry in ending:
-            self._set_state(entry, RegistrationState.GONE)
+        for record in ending:
+            self._set_state(record, RegistrationState.GONE)
         if ending:
             return True
         self._put(
@@ -97,7 +101,7 @@
                 endpoint_id=name_start(name, born),
                 service="",
                 address="",
-                data_centre=ANYWHERE,
+                data_centre=ANY_DATA_CENTRE,
                 slots=0,
                 sequence=0,
                 state=RegistrationState.GONE,
@@ -108,8 +112,8 @@
         return False
 
     def is_gone(self, endpoint_id: str) -> bool:
-        """Say whether an endpoint has said that it ends."""
-        known = self._entries_by_id.get(endpoint_id)
+        """Return whether an endpoint has ended."""
+        known = self._records_by_id.get(endpoint_id)
         if known is None:
             return False
         return known.registration.state is RegistrationState.GONE
@@ -117,155 +121,162 @@
     def changes_after(
         self, serial: int, data_centres: frozenset[str]
     ) -> list[Registration]:
-        """Return what has changed since, for some data centres."""
+        """Return the registrations changed after a serial."""
         now = self._clock.monotonic()
         return [
-            _age(entry.registration, now - entry.heard_at)
-            for entry in self._entries_by_id.values()
-            if entry.serial > serial
-            and entry.registration.data_centre in {ANYWHERE, *data_centres}
+            _count_down(record.registration, now - record.received_at)
+            for record in self._records_by_id.values()
+            if record.serial > serial
+            and record.registration.data_centre
+            in {ANY_DATA_CENTRE, *data_centres}
         ]
 
     def live(self) -> Iterable[Registration]:
-        """Return the registrations of endpoints that take work."""
-        for entry in self._entries_by_id.values():
-            if entry.registration.state is RegistrationState.READY:
-                yield entry.registration
+        """Return the registrations of endpoints that accept requests."""
+        for record in self._records_by_id.values():
+            if record.registration.state is RegistrationState.READY:
+                yield record.registration
 
-    def present(self) -> list[Registration]:
-        """Return the registrations of endpoints that take work or leave."""
+    def ready_or_draining(self) -> list[Registration]:
+        """Return the registrations of ready and of draining endpoints."""
         now = self._clock.monotonic()
         kept = (RegistrationState.READY, RegistrationState.LEAVING)
         return [
-            _age(entry.registration, now - entry.heard_at)
-            for entry in self._entries_by_id.values()
-            if entry.registration.state in kept
+            _count_down(record.registration, now - record.received_at)
+            for record in self._records_by_id.values()
+            if record.registration.state in kept
         ]
 
     def restore(self, registrations: Iterable[Registration]) -> int:
-        """Take in what was known before this VM started.
+        """Apply the registrations stored before this VM restarted.
 
-        What has been heard since the start goes before it.
+        Check-ins received since the restart take precedence.
 
-        :returns: how many were not known yet
+        :returns: how many were added
         """
         return sum(
             self.take(registration)
             for registration in registrations
-            if registration.endpoint_id not in self._entries_by_id
+            if registration.endpoint_id not in self._records_by_id
         )
 
     def prune(self) -> None:
-        """Mark endpoints that fell silent, and forget old ones."""
+        """Mark endpoints that stopped checking in; remove expired ones."""
         now = self._clock.monotonic()
-        for entry in list(self._entries_by_id.values()):
-            silence = now - entry.heard_at
-            age = now - entry.changed_at
-            match entry.registration.state:
+        for record in list(self._records_by_id.values()):
+            idle_seconds = now - record.received_at
+            age = now - record.changed_at
+            match record.registration.state:
                 case RegistrationState.READY:
-                    if silence > SILENT_SECONDS:
-                        self._set_state(entry, RegistrationState.SILENT)
+                    if idle_seconds > CHECK_IN_TIMEOUT_SECONDS:
+                        self._set_state(record, RegistrationState.SILENT)
                 case RegistrationState.LEAVING:
-                    # Its notice outlasts its silence.
-                    if silence > FORGET_SECONDS:
-                        self._set_state(entry, RegistrationState.GONE)
+                    # Becoming unreachable must not undo the drain notice.
+                    if idle_seconds > EXPIRY_SECONDS:
+                        self._set_state(record, RegistrationState.GONE)
                 case RegistrationState.SILENT:
-                    if silence > FORGET_SECONDS:
-                        self._set_state(entry, RegistrationState.FORGOTTEN)
+                    if idle_seconds > EXPIRY_SECONDS:
+                        self._set_state(record, RegistrationState.EXPIRED)
                 case _:
-                    if age > KEEP_GONE_SECONDS:
-                        self._remove(entry)
+                    if age > TOMBSTONE_SECONDS:
+                        self._remove(record)
 
-    def _starts_of(self, name: str) -> list[_Entry]:
+    def _incarnations_of(self, name: str) -> list[_Record]:
         return [
-            entry
-            for entry in self._entries_by_id.values()
-            if entry.registration.known_as == name
+            record
+            for record in self._records_by_id.values()
+            if record.registration.known_as == name
         ]
 
-    def _is_replaced(self, registration: Registration) -> bool:
-        """Say whether an unknown id comes late.
+    def _is_superseded(self, registration: Registration) -> bool:
+        """Return whether a check-in of an unknown id is outdated.
 
-        A check-in that a cut has held back may arrive after its sender has
-        crashed and another start has the address; the first of a start has
-        a low number, so a high one beside a newer id is such a late one.
+        A check-in delayed by a partition may arrive after its sender crashed
+        and a new incarnation uses the address. Sequences start low, so one
+        above that of the address's current endpoint is from before.
         """
         newest = self._newest_id_by_address.get(registration.address)
         if newest is None or newest == registration.endpoint_id:
             return False
-        other = self._entries_by_id.get(newest)
+        other = self._records_by_id.get(newest)
         if other is None:
             return False
         if other.registration.known_as == registration.known_as:
-            # Its own word tells which start is the newer one.
+            # The start times that the endpoint reports decide instead.
             return False
         is_live = other.registration.state is RegistrationState.READY
-        silence = self._clock.monotonic() - other.heard_at
+        idle_seconds = self._clock.monotonic() - other.received_at
         return (
             is_live
-            and silence < SILENT_SECONDS
+            and idle_seconds < CHECK_IN_TIMEOUT_SECONDS
             and (registration.sequence > other.registration.sequence)
         )
 
-    def _set_state(self, entry: _Entry, state: RegistrationState) -> None:
-        if entry.registration.state is state:
+    def _set_state(self, record: _Record, state: RegistrationState) -> None:
+        if record.registration.state is state:
             return
         now = self._clock.monotonic()
-        aged = _age(entry.registration, now - entry.heard_at)
-        changed = msgspec.structs.replace(aged, state=state)
-        self._put(changed, heard_at=entry.heard_at)
+        counted_down = _count_down(
+            record.registration, now - record.received_at
+        )
+        changed = msgspec.structs.replace(counted_down, state=state)
+        self._put(changed, received_at=record.received_at)
 
     def _put(
-        self, registration: Registration, heard_at: float | None = None
+        self, registration: Registration, received_at: float | None = None
     ) -> None:
         self.serial += 1
         now = self._clock.monotonic()
-        self._entries_by_id[registration.endpoint_id] = _Entry(
+        self._records_by_id[registration.endpoint_id] = _Record(
             registration=registration,
             serial=self.serial,
-            heard_at=now if heard_at is None else heard_at,
+            received_at=now if received_at is None else received_at,
             changed_at=now,
         )
         for listener in self.listeners:
             listener(registration)
 
-    def _remove(self, entry: _Entry) -> None:
-        registration = entry.registration
-        del self._entries_by_id[registration.endpoint_id]
-        entries = self._entries_by_id.values()
-        self._starts.keep_only({e.registration.known_as for e in entries})
+    def _remove(self, record: _Record) -> None:
+        registration = record.registration
+        del self._records_by_id[registration.endpoint_id]
+        records = self._records_by_id.values()
+        self._incarnations.retain({r.registration.known_as for r in records})
         newest = self._newest_id_by_address.get(registration.address)
         if newest == registration.endpoint_id:
             del self._newest_id_by_address[registration.address]
 
 
-def _is_newer(registration: Registration, known: _Entry) -> bool:
-    held = known.registration
-    if held.state is RegistrationState.GONE:
+def _is_newer(registration: Registration, known: _Record) -> bool:
+    current = known.registration
+    if current.state is RegistrationState.GONE:
         return False
-    return registration.sequence >= held.sequence
+    return registration.sequence >= current.sequence
 
 
-def _says_the_same(registration: Registration, known: _Entry) -> bool:
-    """Say whether nothing changed that entries go by.
+def _is_unchanged(registration: Registration, known: _Record) -> bool:
+    """Return whether nothing changed that entries need to know.
 
-    The sequence and the time until an endpoint is warm change with each
-    check-in; entries count the latter down themselves. One that became cold
-    again has more left than it had.
+    The sequence and the remaining times change with each check-in; entries
+    count the times down themselves. Only a slow start that began anew, or an
+    end time that appeared or disappeared, counts as a change.
     """
-    held = known.registration
+    current = known.registration
     same = msgspec.structs.replace(
         registration,
-        sequence=held.sequence,
-        cold_seconds=held.cold_seconds,
-        seconds_left=held.seconds_left,
+        sequence=current.sequence,
+        cold_seconds=current.cold_seconds,
+        seconds_left=current.seconds_left,
+    )
+    slow_start_restarted = registration.cold_seconds > current.cold_seconds
+    end_time_changed = (registration.seconds_left is None) != (
+        current.seconds_left is None
+    )
+    return (
+        same == current and not slow_start_restarted and not end_time_changed
     )
-    is_colder = registration.cold_seconds > held.cold_seconds
-    news = (registration.seconds_left is None) != (held.seconds_left is None)
-    return same == held and not is_colder and not news
 
 
-def _age(registration: Registration, seconds: float) -> Registration:
+def _count_down(registration: Registration, seconds: float) -> Registration:
     left = registration.seconds_left
     if not registration.cold_seconds and left is None:
         return registration
--- a/burdockdrum/registrations/follower.py
+++ b/burdockdrum/registrations/follower.py
@@ -1,4 +1,8 @@
-"""The entry's part: follow what every control VM has heard."""
+"""An entry's view of endpoints, merged from all control VMs.
+
+Polls every control VM, receives its changes, and decides which registration
+of an endpoint is current where control VMs disagree.
+"""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -15,42 +19,44 @@
 from burdockdrum.registrations.loads import Load
 from burdockdrum.registrations.messages import Registration
 from burdockdrum.registrations.messages import RegistrationState
+from burdockdrum.registrations.messages import RegistrationUpdate
 from burdockdrum.registrations.messages import ServiceRoom
 from burdockdrum.registrations.messages import Watch
-from burdockdrum.registrations.messages import Watched
 from burdockdrum.registrations.model import RegisteredEndpoint
-from burdockdrum.registrations.pacing import MIN_WATCH_SECONDS
-from burdockdrum.registrations.pacing import watch_seconds
-from burdockdrum.registrations.pacing import WATCH_SPREAD
-from burdockdrum.registrations.starts import NewestStarts
+from burdockdrum.registrations.pacing import MIN_WATCH_INTERVAL_SECONDS
+from burdockdrum.registrations.pacing import watch_interval
+from burdockdrum.registrations.pacing import WATCH_JITTER_FRACTION
+from burdockdrum.registrations.starts import LatestIncarnations
 from burdockdrum.registrations.starts import UNKNOWN_START
 
-# What a control VM knew before its restart counts for so long: within it a
-# live endpoint has checked in again, there or elsewhere.
-KEEP_OLD_SECONDS = 6.0
-# What a region had under way longer ago says nothing of the present.
-ROOMS_SECONDS = 3.0
-# A start that ended is remembered for as long as a late message about it
-# may be on its way.
-KEEP_GONE_SECONDS = 120.0
+# Registrations from before a control VM's restart stay valid for so long, in
+# which a live endpoint checks in again.
+STALE_GRACE_SECONDS = 6.0
+# Older reports of a region's load are not used.
+MAX_CAPACITY_AGE_SECONDS = 3.0
+# Outlasts late messages about an ended incarnation, which must not revive it.
+TOMBSTONE_SECONDS = 120.0
 
 
 @dataclass(kw_only=True)
 class _Source:
-    """What one control VM has told; ``epoch`` is its start."""
+    """The state received from one control VM.
+
+    ``epoch`` is the incarnation of the control VM.
+    """
 
     epoch: int = 0
     serial: int = 0
-    heard_at: float = float("-inf")
+    received_at: float = float("-inf")
     endpoints_by_id: dict[str, RegisteredEndpoint] = field(
         default_factory=dict
     )
-    rooms: list[ServiceRoom] = field(default_factory=list)
-    old_until_by_id: dict[str, float] = field(default_factory=dict)
+    capacities: list[ServiceRoom] = field(default_factory=list)
+    stale_until_by_id: dict[str, float] = field(default_factory=dict)
 
 
 class RegistrationFollower:
-    """The endpoints of this region by id, from all control VMs."""
+    """The endpoints of this region by id, merged from all control VMs."""
 
     def __init__(
         self,
@@ -60,91 +66,106 @@
         rng: random.Random,
         control_addresses: Callable[[], Mapping[str, str]],
         read_report: Callable[[], LoadById | None] = dict,
-        take_revision: Callable[[str, int], None] = lambda *_: None,
+        on_revision: Callable[[str, int], None] = lambda *_: None,
     ) -> None:
-        """Know no endpoint.
+        """Register the message handler; polling starts with ``run``.
 
         :param control_addresses: returns the control VMs' addresses by id
-        :param read_report: returns what control VMs are told to be under
-            way, None if another entry tells them
-        :param take_revision: is told of the revision at a control address
+        :param read_report: returns the load to report to control VMs, None
+            if another entry reports it
+        :param on_revision: called with a control VM's address and the
+            revision of its configuration
         """
         self.endpoints_by_id: dict[str, RegisteredEndpoint] = {}
         self.read_report = read_report
         self.listeners: list[Callable[[], None]] = []
-        # Told of each start that another has taken the place of.
+        # Called with the id of each incarnation that a newer one replaced.
         self.restart_listeners: list[Callable[[str], None]] = []
         self._peers = peers
         self._clock = clock
         self._rng = rng
         self._control_addresses = control_addresses
-        self._take_revision = take_revision
+        self._on_revision = on_revision
         self._sources_by_id: dict[str, _Source] = {}
-        self._gone_at_by_id: dict[str, float] = {}
-        self._starts = NewestStarts()
-        # Ends of endpoints of which no start was known, by what they go by.
-        self._unknown_ends_by_name: dict[str, float] = {}
-        self._counts: dict[str, tuple[int, int]] = {}
-        peers.register(Watched, self._take_watched)
+        self._ended_at_by_id: dict[str, float] = {}
+        self._incarnations = LatestIncarnations()
+        # When ends of endpoints without a known incarnation arrived.
+        self._unmatched_ends_by_name: dict[str, float] = {}
+        self._entry_counts_by_id: dict[str, tuple[int, int]] = {}
+        peers.register(RegistrationUpdate, self._receive_update)
 
     @property
-    def rooms(self) -> list[ServiceRoom]:
-        """Return what each region has under way, of each service.
+    def capacities(self) -> list[ServiceRoom]:
+        """Return the capacity and load of each service in each region.
 
-        A control VM only tells of the endpoints that check in there, so
-        the parts of all that were heard lately are added up.
+        A control VM only counts the endpoints that check in there, so the
+        recent reports of all control VMs are added up.
         """
-        since = self._clock.monotonic() - ROOMS_SECONDS
+        since = self._clock.monotonic() - MAX_CAPACITY_AGE_SECONDS
         sums: dict[tuple[str, str], ServiceRoom] = {}
         for source in self._sources_by_id.values():
-            if source.heard_at < since:
+            if source.received_at < since:
                 continue
-            for room in source.rooms:
-                key = (room.region, room.service)
-                sums[key] = _add_rooms(sums.get(key), room)
+            for capacity in source.capacities:
+                key = (capacity.region, capacity.service)
+                sums[key] = _add_capacities(sums.get(key), capacity)
         return list(sums.values())
 
     @property
     def entries_here(self) -> int:
-        """Return how many entries this region may have, at least one."""
-        return max([1, *(here for here, _ in self._counts.values())])
+        """Return how many entries may be alive here, at least one."""
+        return max(
+            [
+                1,
+                *(
+                    in_region
+                    for in_region, _ in self._entry_counts_by_id.values()
+                ),
+            ]
+        )
 
     @property
     def entries_everywhere(self) -> int:
-        """Return how many entries there may be, at least one."""
-        return max([1, *(all_ for _, all_ in self._counts.values())])
+        """Return how many entries may be alive anywhere, at least one."""
+        return max(
+            [1, *(total for _, total in self._entry_counts_by_id.values())]
+        )
 
-    def is_heard(self, seconds: float) -> bool:
-        """Say whether a control VM was heard of in the last seconds."""
+    def has_recent_update(self, seconds: float) -> bool:
+        """Return whether a control VM sent an update in the last seconds."""
         since = self._clock.monotonic() - seconds
-        return any(s.heard_at >= since for s in self._sources_by_id.values())
+        return any(
+            s.received_at >= since for s in self._sources_by_id.values()
+        )
 
     def drop(self, endpoint_id: str) -> None:
-        """Forget a start of an endpoint that another has replaced."""
-        self._gone_at_by_id[endpoint_id] = self._clock.monotonic()
+        """Remove an incarnation of an endpoint that was replaced."""
+        self._ended_at_by_id[endpoint_id] = self._clock.monotonic()
         self._merge(endpoint_id)
-        self._tell()
+        self._notify_listeners()
 
     async def run(self) -> None:
-        """Watch every control VM until cancelled."""
+        """Poll every control VM until cancelled."""
         while True:
             report = self.read_report()
             for vm_id, address in self._control_addresses().items():
                 self._watch(vm_id, address, report)
             self._prune()
-            await self._clock.sleep(self._pause(report))
+            await self._clock.sleep(self._poll_delay(report))
 
-    def _pause(self, report: LoadById | None) -> float:
-        """Return the seconds until control VMs are asked again.
+    def _poll_delay(self, report: LoadById | None) -> float:
+        """Return the seconds until control VMs are polled again.
 
-        One that reports for others does so at the usual pace; so does one
-        that has not heard yet how many entries there are.
+        An entry that reports the load of others polls at the shortest
+        interval. Otherwise the interval grows with the number of entries.
         """
         if report is not None:
-            return MIN_WATCH_SECONDS
-        # Entries that start together must not ask together for good.
-        spread = self._rng.uniform(1 - WATCH_SPREAD, 1 + WATCH_SPREAD)
-        return watch_seconds(self.entries_everywhere) * spread
+            return MIN_WATCH_INTERVAL_SECONDS
+        # Jitter spreads the polls of entries that started simultaneously.
+        jitter = self._rng.uniform(
+            1 - WATCH_JITTER_FRACTION, 1 + WATCH_JITTER_FRACTION
+        )
+        return watch_interval(self.entries_everywhere) * jitter
 
     def _watch(
         self,
@@ -152,7 +173,7 @@
         address: str,
         report: LoadById | None,
         *,
-        confirms: bool = False,
+        is_acknowledgement: bool = False,
     ) -> None:
         source = self._sources_by_id.setdefault(vm_id, _Source())
         message = Watch(
@@ -160,12 +181,12 @@
             epoch=source.epoch,
             serial=source.serial,
             load_by_id=report,
-            confirms=confirms,
+            is_acknowledgement=is_acknowledgement,
         )
         self._peers.send(address, message)
 
-    async def _take_watched(
-        self, sender: Sender, message: Watched
+    async def _receive_update(
+        self, sender: Sender, message: RegistrationUpdate
     ) -> Message | None:
         source = self._sources_by_id.setdefault(sender.vm_id, _Source())
         now = self._clock.monotonic()
@@ -173,101 +194,103 @@
             return None
         if message.epoch > source.epoch:
             self._begin_epoch(source, message.epoch, now)
-        source.heard_at = now
-        self._take_revision(sender.address, message.revision)
-        self._counts[sender.vm_id] = (
-            message.entries_here,
-            message.entries_everywhere,
+        source.received_at = now
+        self._on_revision(sender.address, message.revision)
+        self._entry_counts_by_id[sender.vm_id] = (
+            message.region_entries,
+            message.total_entries,
         )
-        if message.rooms is not None:
-            source.rooms = message.rooms
-        if message.after <= source.serial <= message.serial:
+        if message.capacities is not None:
+            source.capacities = message.capacities
+        if message.base_serial <= source.serial <= message.serial:
             source.serial = message.serial
         for registration in message.registrations:
-            self._take(source, registration, now)
+            self._apply(source, registration, now)
         if message.registrations:
-            self._watch(sender.vm_id, sender.address, None, confirms=True)
-            self._tell()
+            self._watch(
+                sender.vm_id, sender.address, None, is_acknowledgement=True
+            )
+            self._notify_listeners()
         return None
 
     def _begin_epoch(self, source: _Source, epoch: int, now: float) -> None:
         source.epoch = epoch
         source.serial = 0
-        source.old_until_by_id = dict.fromkeys(
-            source.endpoints_by_id, now + KEEP_OLD_SECONDS
+        source.stale_until_by_id = dict.fromkeys(
+            source.endpoints_by_id, now + STALE_GRACE_SECONDS
         )
 
-    def _take(
+    def _apply(
         self, source: _Source, registration: Registration, now: float
     ) -> None:
         endpoint_id = registration.endpoint_id
-        source.old_until_by_id.pop(endpoint_id, None)
+        source.stale_until_by_id.pop(endpoint_id, None)
         if registration.state is RegistrationState.GONE:
-            self._take_end(source, registration, now)
-        elif registration.state is RegistrationState.FORGOTTEN:
+            self._apply_end(source, registration, now)
+        elif registration.state is RegistrationState.EXPIRED:
             source.endpoints_by_id.pop(endpoint_id, None)
-        elif self._is_to_be_believed(registration, now):
-            self._take_start(registration, now)
+        elif self._is_current(registration, now):
+            self._observe_incarnation(registration, now)
             source.endpoints_by_id[endpoint_id] = _make_endpoint(
                 registration, now
             )
         self._merge(endpoint_id)
 
-    def _take_end(
+    def _apply_end(
         self, source: _Source, registration: Registration, now: float
     ) -> None:
-        self._gone_at_by_id[registration.endpoint_id] = now
+        self._ended_at_by_id[registration.endpoint_id] = now
         source.endpoints_by_id.pop(registration.endpoint_id, None)
         if registration.born != UNKNOWN_START:
             return
-        # The control VM did not know which start it is that ends.
+        # The control VM did not know which incarnation ended.
         name = registration.known_as
-        starts = self._find_starts(name)
-        if not starts:
-            self._unknown_ends_by_name[name] = now
-        for endpoint in starts:
-            self._end_start(endpoint.endpoint_id, now)
+        incarnations = self._find_incarnations(name)
+        if not incarnations:
+            self._unmatched_ends_by_name[name] = now
+        for endpoint in incarnations:
+            self._end_incarnation(endpoint.endpoint_id, now)
 
-    def _is_to_be_believed(
-        self, registration: Registration, now: float
-    ) -> bool:
+    def _is_current(self, registration: Registration, now: float) -> bool:
         name, born = registration.known_as, registration.born
-        if self._starts.is_former(name, born):
+        if self._incarnations.is_outdated(name, born):
             return False
-        if self._unknown_ends_by_name.pop(name, None) is None:
+        if self._unmatched_ends_by_name.pop(name, None) is None:
             return True
-        # Its end was heard of first, at another control VM.
-        self._starts.take(name, born)
-        self._gone_at_by_id[registration.endpoint_id] = now
+        # Another control VM already reported the end of this endpoint.
+        self._incarnations.observe(name, born)
+        self._ended_at_by_id[registration.endpoint_id] = now
         return False
 
-    def _take_start(self, registration: Registration, now: float) -> None:
+    def _observe_incarnation(
+        self, registration: Registration, now: float
+    ) -> None:
         name = registration.known_as
-        if not self._starts.take(name, registration.born):
+        if not self._incarnations.observe(name, registration.born):
             return
-        for former in self._find_starts(name):
-            if former.endpoint_id == registration.endpoint_id:
+        for previous in self._find_incarnations(name):
+            if previous.endpoint_id == registration.endpoint_id:
                 continue
-            self._end_start(former.endpoint_id, now)
+            self._end_incarnation(previous.endpoint_id, now)
             log_decision(
                 "endpoint.restarted",
                 endpoint_id=registration.endpoint_id,
-                former_id=former.endpoint_id,
+                former_id=previous.endpoint_id,
                 born=registration.born,
-                former_born=former.born,
+                former_born=previous.born,
             )
             for listener in self.restart_listeners:
-                listener(former.endpoint_id)
+                listener(previous.endpoint_id)
 
-    def _find_starts(self, name: str) -> list[RegisteredEndpoint]:
+    def _find_incarnations(self, name: str) -> list[RegisteredEndpoint]:
         return [
             endpoint
             for endpoint in self.endpoints_by_id.values()
             if endpoint.known_as == name
         ]
 
-    def _end_start(self, endpoint_id: str, now: float) -> None:
-        self._gone_at_by_id[endpoint_id] = now
+    def _end_incarnation(self, endpoint_id: str, now: float) -> None:
+        self._ended_at_by_id[endpoint_id] = now
         self._merge(endpoint_id)
 
     def _merge(self, endpoint_id: str) -> None:
@@ -279,18 +302,18 @@
             self._log(before, after)
 
     def _choose_copy(self, endpoint_id: str) -> RegisteredEndpoint | None:
-        """Return what to believe of an endpoint, None if it is gone."""
+        """Return the current registration of an endpoint, None if gone."""
         copies = [
             source.endpoints_by_id[endpoint_id]
             for source in self._sources_by_id.values()
             if endpoint_id in source.endpoints_by_id
         ]
-        if not copies or endpoint_id in self._gone_at_by_id:
+        if not copies or endpoint_id in self._ended_at_by_id:
             return None
-        # Silence at one control VM says little while another hears it.
-        heard = [copy for copy in copies if not copy.silent] or copies
-        leaving = [copy for copy in copies if copy.leaving]
-        return max(leaving or heard, key=lambda copy: copy.sequence)
+        # Unreachable at one control VM, it may check in at another.
+        reachable = [copy for copy in copies if not copy.silent] or copies
+        draining = [copy for copy in copies if copy.leaving]
+        return max(draining or reachable, key=lambda copy: copy.sequence)
 
     def _log(
         self,
@@ -313,22 +336,22 @@
     def _prune(self) -> None:
         now = self._clock.monotonic()
         for source in self._sources_by_id.values():
-            for endpoint_id, until in list(source.old_until_by_id.items()):
+            for endpoint_id, until in list(source.stale_until_by_id.items()):
                 if now >= until:
-                    del source.old_until_by_id[endpoint_id]
+                    del source.stale_until_by_id[endpoint_id]
                     source.endpoints_by_id.pop(endpoint_id, None)
                     self._merge(endpoint_id)
-        for ended_at in (self._gone_at_by_id, self._unknown_ends_by_name):
+        for ended_at in (self._ended_at_by_id, self._unmatched_ends_by_name):
             for key, at in list(ended_at.items()):
-                if now - at > KEEP_GONE_SECONDS:
+                if now - at > TOMBSTONE_SECONDS:
                     del ended_at[key]
-                    self._forget_starts()
+                    self._forget_incarnations()
 
-    def _forget_starts(self) -> None:
+    def _forget_incarnations(self) -> None:
         endpoints = self.endpoints_by_id.values()
-        self._starts.keep_only({e.known_as for e in endpoints})
+        self._incarnations.retain({e.known_as for e in endpoints})
 
-    def _tell(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self.listeners:
             listener()
 
@@ -358,7 +381,9 @@
     return endpoint.state if endpoint is not None else None
 
 
-def _add_rooms(first: ServiceRoom | None, second: ServiceRoom) -> ServiceRoom:
+def _add_capacities(
+    first: ServiceRoom | None, second: ServiceRoom
+) -> ServiceRoom:
     if first is None:
         return second
     load = Load.of([*first.ranks, *second.ranks])
--- a/burdockdrum/registrations/messages.py
+++ b/burdockdrum/registrations/messages.py
@@ -1,10 +1,11 @@
-"""What control VMs and entries tell each other of endpoints.
+"""Messages between control VMs and entries about endpoints and their loads.
 
-The structs are arrays on the wire, to spend few bytes; fields are only ever
-added at their ends.
+The structs are encoded as arrays to save bytes; for compatibility, fields are
+only ever added at the end.
 """
 
 import enum
+from typing import ClassVar
 
 import msgspec
 
@@ -14,29 +15,29 @@
 
 
 class RegistrationState(enum.Enum):
-    """What an endpoint said last, or what its silence means.
+    """The state of one incarnation of an endpoint.
 
-    ``SILENT`` may still serve: its check-ins may be what is lost.
-    ``FORGOTTEN`` only says that a control VM does not know it any more;
-    after ``GONE`` that start of the endpoint never comes back.
+    ``LEAVING`` endpoints are draining. ``SILENT`` ones are unreachable for a
+    control VM, but may still serve: only their check-ins may be lost.
+    ``EXPIRED`` ones are no longer known to a control VM. ``GONE`` is final.
     """
 
     READY = "ready"
     LEAVING = "leaving"
     SILENT = "silent"
     GONE = "gone"
-    FORGOTTEN = "forgotten"
+    EXPIRED = "forgotten"
 
 
 class Registration(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """One start of an endpoint, as it described itself.
-
-    ``endpoint_id`` is new for each start (see ``starts``); ``name`` is what
-    the endpoint itself goes by, and ``born`` when it started, 0 if it does
-    not say. ``sequence`` counts the check-ins of this start.
-    ``cold_seconds`` is how much longer it is cold, ``seconds_left`` how long
-    until it is taken away, both from when this was sent; the latter is
-    None if no end is known.
+    """A check-in of one incarnation of an endpoint.
+
+    ``endpoint_id`` differs for each incarnation (see ``starts``); ``name``
+    is the id that the endpoint reports, and ``born`` its start time in
+    milliseconds of its own clock, 0 if unknown. ``sequence`` counts the
+    check-ins of this incarnation. ``cold_seconds`` is the remaining slow
+    start and ``seconds_left`` the time until the endpoint is removed, None if
+    not planned; both count from when the message was sent.
     """
 
     endpoint_id: str
@@ -53,12 +54,12 @@
 
     @property
     def known_as(self) -> str:
-        """Return the id that the endpoint itself goes by."""
+        """Return the id that the endpoint reports, over all incarnations."""
         return self.name or self.endpoint_id
 
 
 class ServiceRoom(msgspec.Struct, frozen=True, array_like=True):
-    """What the endpoints of a service in one region have under way."""
+    """The capacity and load of a service's endpoints in one region."""
 
     region: str
     service: str
@@ -68,83 +69,88 @@
 
 
 class Watch(Message, frozen=True, kw_only=True, array_like=True):
-    """An entry asks a control VM for the registrations of its region.
+    """An entry polls a control VM for the registrations of its region.
 
-    ``serial`` is the last change that it knows, of the control VM's start
-    ``epoch``. ``load_by_id`` is None where another entry tells it.
-    ``confirms`` says that changes have arrived: no answer is needed.
+    ``serial`` is the last change received from the control VM's incarnation
+    ``epoch``. ``load_by_id`` is None if another entry reports the load. If
+    ``is_acknowledgement``, the message only confirms received changes, and
+    the control VM sends no answer.
     """
 
     region: str
     epoch: int
     serial: int
     load_by_id: dict[str, list[RankLoad]] | None = None
-    confirms: bool = False
+    is_acknowledgement: bool = False
 
 
 class PlacedParts(msgspec.Struct, frozen=True, array_like=True):
-    """The beginning of a prompt that was sent to an endpoint.
+    """The prefix of a prompt that was sent to an endpoint.
 
-    ``parts`` are the ids and tokens of its shared parts, in their order.
+    ``parts`` are the ids and tokens of its shared parts, in order.
     """
 
     endpoint_id: str
     parts: list[tuple[str, int]]
 
 
-class LoadNotice(Message, frozen=True, kw_only=True, array_like=True):
-    """An entry tells others of its region what it has under way.
+class LoadReport(Message, frozen=True, kw_only=True, array_like=True):
+    """An entry reports its load to other entries of its region.
 
-    ``placed`` is what it has sent where since the last notice. ``asks`` says
-    that it wants to hear of everything else in return, as ``RegionLoad``.
+    ``placed`` are the prefixes sent to endpoints since the last report. If
+    ``wants_reply``, the receiver answers with a ``RegionLoad``.
     """
 
+    wire_kind: ClassVar[str | None] = "registrations.LoadNotice"
+
     load_by_id: dict[str, list[RankLoad]]
     placed: list[PlacedParts] = []
-    asks: bool = False
+    wants_reply: bool = False
 
 
 class RegionLoad(Message, frozen=True, kw_only=True, array_like=True):
-    """What an entry that asked should know of its region, and of others.
+    """The aggregator's reply to a load report.
 
-    ``load_by_id`` leaves out what the asker itself has told.
+    ``load_by_id`` is the load of the region without what the requester
+    itself reported; ``capacities`` cover all regions.
     """
 
     load_by_id: dict[str, list[RankLoad]]
     placed: list[PlacedParts] = []
-    rooms: list[ServiceRoom] = []
+    capacities: list[ServiceRoom] = []
 
 
 class DataCentreLoad(Message, frozen=True, kw_only=True, array_like=True):
-    """What a data centre's entries have under way, for others of a region.
+    """The load of a data centre's entries, for other data centres.
 
-    ``keeper`` is the address of the entry that sums up there.
-    ``passed_on`` says that another entry of the receiver's data centre has
-    sent it on, so that it is sent on once at most.
+    ``aggregator_address`` is that of the sending data centre. If
+    ``is_forwarded``, an entry of the receiver's data centre has forwarded
+    the message; it is forwarded at most once.
     """
 
     data_centre: str
-    keeper: str
+    aggregator_address: str
     load_by_id: dict[str, list[RankLoad]]
     placed: list[PlacedParts] = []
-    passed_on: bool = False
+    is_forwarded: bool = False
 
 
-class Watched(Message, frozen=True, kw_only=True, array_like=True):
-    """What a control VM has heard since the serial that was asked for.
+class RegistrationUpdate(Message, frozen=True, kw_only=True, array_like=True):
+    """The changes at a control VM after the serial ``base_serial``.
 
-    ``after`` is that serial: where the entry has another one it has missed
-    a change and asks again. ``entries_here`` and ``entries_everywhere``
-    count the entries that may be alive, in this region and in all.
-    ``revision`` is that of the configuration which the control VM has in
-    force.
+    An entry whose last serial is older has missed changes and polls again.
+    ``region_entries`` and ``total_entries`` count the entries that may be
+    alive, in this region and in all. ``revision`` is that of the
+    configuration in force at the control VM.
     """
 
+    wire_kind: ClassVar[str | None] = "registrations.Watched"
+
     epoch: int
-    after: int
+    base_serial: int
     serial: int
     registrations: list[Registration] = []
-    rooms: list[ServiceRoom] | None = None
-    entries_here: int = 0
-    entries_everywhere: int = 0
+    capacities: list[ServiceRoom] | None = None
+    region_entries: int = 0
+    total_entries: int = 0
     revision: int = 0
--- a/burdockdrum/registrations/model.py
+++ b/burdockdrum/registrations/model.py
@@ -1,4 +1,4 @@
-"""An endpoint as an entry knows it."""
+"""The registration of an endpoint as an entry keeps it."""
 
 from dataclasses import dataclass
 
@@ -8,11 +8,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RegisteredEndpoint:
-    """One start of an endpoint, with times on this VM's monotonic clock.
+    """One incarnation of an endpoint.
 
-    ``name`` is what the endpoint itself goes by, also over its starts;
-    ``born`` is when it started by its own clock, 0 if it does not say.
-    ``ends_at`` is when it will be taken away, None if that is not known.
+    Times are on this VM's monotonic clock: ``cold_until`` is the end of the
+    slow start and ``ends_at`` the planned removal, None if there is none.
+    ``name`` is the id that the endpoint reports, over all incarnations;
+    ``born`` is its start time by its own clock, 0 if unknown.
     """
 
     endpoint_id: str
@@ -29,15 +30,15 @@
 
     @property
     def known_as(self) -> str:
-        """Return the id that the endpoint itself goes by."""
+        """Return the id that the endpoint reports, over all incarnations."""
         return self.name or self.endpoint_id
 
     @property
     def leaving(self) -> bool:
-        """Say whether it wants no new work."""
+        """Return whether it is draining and accepts no new requests."""
         return self.state is RegistrationState.LEAVING
 
     @property
     def silent(self) -> bool:
-        """Say whether no control VM has heard from it lately."""
+        """Return whether its check-ins have stopped at all control VMs."""
         return self.state is RegistrationState.SILENT
--- a/burdockdrum/registrations/pacing.py
+++ b/burdockdrum/registrations/pacing.py
@@ -1,23 +1,26 @@
-"""How often entries ask control VMs, by how many entries there are."""
+"""The interval at which entries poll control VMs.
 
-MIN_WATCH_SECONDS = 0.5
-# A control VM answers so many entries a second, however many there are:
-# a fiftieth of a core. Changes are told at once, not with an answer.
-WATCHES_A_SECOND = 45
-# The part by which each pause is longer or shorter at random.
-WATCH_SPREAD = 0.2
-# An entry whose last questions were lost is still told of changes.
-FRESH_WATCHES = 4
+It grows with the number of entries, which bounds the load of control VMs.
+"""
 
+MIN_WATCH_INTERVAL_SECONDS = 0.5
+# Polls that a control VM answers per second, however many entries there are.
+# Changes don't wait for a poll: they are published at once.
+MAX_WATCHES_PER_SECOND = 45
+# The interval varies at random by up to this fraction.
+WATCH_JITTER_FRACTION = 0.2
+# An entry counts as alive for so many intervals, as polls may get lost.
+LIVENESS_INTERVALS = 4
 
-def watch_seconds(entries: int) -> float:
-    """Return the time between two questions of an entry.
 
-    :param entries: how many there are in all regions
+def watch_interval(entries: int) -> float:
+    """Return the seconds between two polls of an entry.
+
+    :param entries: the number of entries in all regions
     """
-    return max(MIN_WATCH_SECONDS, entries / WATCHES_A_SECOND)
+    return max(MIN_WATCH_INTERVAL_SECONDS, entries / MAX_WATCHES_PER_SECOND)
 
 
-def fresh_seconds(entries: int) -> float:
-    """Return how long an entry that was heard counts as alive."""
-    return watch_seconds(entries) * FRESH_WATCHES
+def liveness_timeout(entries: int) -> float:
+    """Return the seconds for which an entry is alive after a poll."""
+    return watch_interval(entries) * LIVENESS_INTERVALS
--- a/burdockdrum/registrations/placed_parts.py
+++ b/burdockdrum/registrations/placed_parts.py
@@ -1,45 +1,48 @@
-"""Notices of what was sent where, until everyone has been told."""
+"""A bounded log of the prompt prefixes sent to endpoints.
+
+The aggregator forwards each record once to every other receiver.
+"""
 
 import collections
 from collections.abc import Iterable
 
 from burdockdrum.registrations.messages import PlacedParts
 
-# A data centre of 20 entries makes a few hundred in the second and a half
-# after which one that was not heard has to be told everything anew anyway.
-MAX_KEPT = 512
+# More than a data centre adds before loads expire; a receiver that is further
+# behind misses the oldest.
+MAX_PLACEMENTS = 512
 
 
-class PlacedNotices:
-    """The latest notices, each with who it came from."""
+class PlacementLog:
+    """The latest placements with their sources, and what was sent to whom."""
 
     def __init__(self) -> None:
-        """Keep nothing yet."""
+        """Create an empty log."""
         self._serial = 0
-        self._kept: collections.deque[tuple[int, str, PlacedParts]] = (
-            collections.deque(maxlen=MAX_KEPT)
+        self._placements: collections.deque[tuple[int, str, PlacedParts]] = (
+            collections.deque(maxlen=MAX_PLACEMENTS)
         )
-        self._told_by_receiver: dict[str, int] = {}
+        self._sent_serial_by_receiver: dict[str, int] = {}
 
-    def add(self, source: str, notices: Iterable[PlacedParts]) -> None:
-        """Keep what a source has told."""
-        for notice in notices:
+    def add(self, source: str, placements: Iterable[PlacedParts]) -> None:
+        """Append the placements that a source reported."""
+        for placement in placements:
             self._serial += 1
-            self._kept.append((self._serial, source, notice))
+            self._placements.append((self._serial, source, placement))
 
-    def take_for(
-        self, receiver: str, *, without: frozenset[str] = frozenset()
+    def read_unsent(
+        self, receiver: str, *, excluded_sources: frozenset[str] = frozenset()
     ) -> list[PlacedParts]:
-        """Return what a receiver has not been told yet.
+        """Return the placements not yet sent to a receiver; mark them sent.
 
-        What it told itself is left out, and what came from the sources in
-        ``without``.
+        Those reported by the receiver itself or by ``excluded_sources`` are
+        left out.
         """
-        told = self._told_by_receiver.get(receiver, self._serial)
-        self._told_by_receiver[receiver] = self._serial
-        left_out = {receiver, *without}
+        last_sent = self._sent_serial_by_receiver.get(receiver, self._serial)
+        self._sent_serial_by_receiver[receiver] = self._serial
+        excluded = {receiver, *excluded_sources}
         return [
-            notice
-            for serial, source, notice in self._kept
-            if serial > told and source not in left_out
+            placement
+            for serial, source, placement in self._placements
+            if serial > last_sent and source not in excluded
         ]
--- a/burdockdrum/registrations/publisher.py
+++ b/burdockdrum/registrations/publisher.py
@@ -1,4 +1,8 @@
-"""The control VM's part: tell entries what endpoints said."""
+"""Publishes a control VM's registrations to entries.
+
+Pushes each change at once, resends what was not acknowledged, and answers the
+polls of entries.
+"""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -9,91 +13,94 @@
 from burdockdrum.peers import Peers
 from burdockdrum.peers import Sender
 from burdockdrum.ports import Clock
-from burdockdrum.registrations.book import ANYWHERE
+from burdockdrum.registrations.book import ANY_DATA_CENTRE
 from burdockdrum.registrations.book import RegistrationBook
 from burdockdrum.registrations.loads import Load
 from burdockdrum.registrations.loads import RankLoad
 from burdockdrum.registrations.messages import Registration
+from burdockdrum.registrations.messages import RegistrationUpdate
 from burdockdrum.registrations.messages import ServiceRoom
 from burdockdrum.registrations.messages import Watch
-from burdockdrum.registrations.messages import Watched
-from burdockdrum.registrations.pacing import fresh_seconds
+from burdockdrum.registrations.pacing import liveness_timeout
 
-PRUNE_SECONDS = 0.5
-# A way there and back between regions is 110 ms, a lost packet is sent anew
-# after 200 ms: what was not confirmed by then is told again.
-CONFIRM_SECONDS = 0.4
-# What an entry has under way is told twice a second, and old news after so
-# long.
-LOAD_SECONDS = 2.0
-# Entries count each other high for the limits that they share: one that may
-# only be cut off still holds its share.
-COUNT_SECONDS = 20.0
+PRUNE_INTERVAL_SECONDS = 0.5
+# Longer than a round trip between regions and a TCP retransmission together,
+# 310 ms.
+ACK_TIMEOUT_SECONDS = 0.4
+# Entries report their load twice a second; older reports are not used.
+MAX_LOAD_AGE_SECONDS = 2.0
+# Entries divide shared limits by this count. It is high rather than low: an
+# entry that is only partitioned still uses its share.
+ENTRY_COUNT_WINDOW_SECONDS = 20.0
 
 
 @dataclass(kw_only=True)
 class _Watcher:
-    """``serial`` is what it has confirmed, ``told_serial`` what it was told.
+    """An entry that polls this control VM.
 
-    The latter only counts changes that concern its region.
+    ``serial`` is the last serial that it acknowledged, ``sent_serial`` the
+    last one sent to it with a change of its region.
     """
 
     address: str
     region: str
     incarnation: int
     serial: int
-    heard_at: float
-    told_serial: int = 0
-    told_at: float = float("-inf")
+    received_at: float
+    sent_serial: int = 0
+    sent_at: float = float("-inf")
     load_by_id: dict[str, list[RankLoad]] = field(default_factory=dict)
-    load_at: float = float("-inf")
+    load_received_at: float = float("-inf")
 
     def is_behind(self, now: float) -> bool:
-        """Say whether what it was told must have been lost."""
-        if self.serial >= self.told_serial:
+        """Return whether a sent change must have been lost."""
+        if self.serial >= self.sent_serial:
             return False
-        return now - self.told_at >= CONFIRM_SECONDS
+        return now - self.sent_at >= ACK_TIMEOUT_SECONDS
 
 
 class RegistrationPublisher:
-    """Send changes to the entries that watch, at once and when asked."""
+    """Sends registrations to entries, on changes and in answer to polls."""
 
     def __init__(
         self,
         *,
         peers: Peers,
         clock: Clock,
-        book: RegistrationBook,
+        table: RegistrationBook,
         regions_by_data_centre: Mapping[str, str],
         read_revision: Callable[[], int],
     ) -> None:
-        """Answer entries from now on."""
+        """Register the message handler and listen for changes."""
         self._peers = peers
         self._clock = clock
-        self._book = book
+        self._table = table
         self._regions_by_data_centre = dict(regions_by_data_centre)
         self._read_revision = read_revision
         self._watchers_by_id: dict[str, _Watcher] = {}
-        book.listeners.append(self._take_change)
-        peers.register(Watch, self._take_watch)
+        table.listeners.append(self._publish_change)
+        peers.register(Watch, self._receive_watch)
 
     async def run(self) -> None:
-        """Notice silent endpoints, and tell again what was lost."""
+        """Expire endpoints and resend lost changes until cancelled."""
         while True:
-            self._book.prune()
-            self._tell_again()
-            await self._clock.sleep(PRUNE_SECONDS)
+            self._table.prune()
+            self._resend_unacknowledged()
+            await self._clock.sleep(PRUNE_INTERVAL_SECONDS)
 
     def count_watchers(self, region: str | None = None) -> int:
-        """Return how many entries may be alive, of one region or of all."""
-        since = self._clock.monotonic() - COUNT_SECONDS
+        """Return the number of entries that may be alive.
+
+        :param region: count only those of this region
+        """
+        since = self._clock.monotonic() - ENTRY_COUNT_WINDOW_SECONDS
         return sum(
-            watcher.heard_at >= since
+            watcher.received_at >= since
             and (region is None or watcher.region == region)
             for watcher in self._watchers_by_id.values()
         )
 
-    async def _take_watch(
+    async def _receive_watch(
         self, sender: Sender, message: Watch
     ) -> Message | None:
         now = self._clock.monotonic()
@@ -106,74 +113,77 @@
                 region=message.region,
                 incarnation=sender.incarnation,
                 serial=0,
-                heard_at=now,
+                received_at=now,
             )
             self._watchers_by_id[sender.vm_id] = watcher
         epoch = self._peers.identity.incarnation
         watcher.serial = message.serial if message.epoch == epoch else 0
-        watcher.heard_at = now
+        watcher.received_at = now
         if message.load_by_id is not None:
-            watcher.load_by_id, watcher.load_at = message.load_by_id, now
-        if not message.confirms:
-            reports = message.load_by_id is not None
-            self._send(watcher, with_rooms=reports)
+            watcher.load_by_id, watcher.load_received_at = (
+                message.load_by_id,
+                now,
+            )
+        if not message.is_acknowledgement:
+            has_load = message.load_by_id is not None
+            self._send(watcher, with_capacities=has_load)
         self._forget_watchers(now)
         return None
 
-    def _take_change(self, registration: Registration) -> None:
+    def _publish_change(self, registration: Registration) -> None:
         region = self._regions_by_data_centre.get(registration.data_centre)
-        everywhere = registration.data_centre == ANYWHERE
-        for watcher in self._fresh_watchers():
-            if everywhere or watcher.region == region:
-                self._tell(watcher)
+        is_for_all_regions = registration.data_centre == ANY_DATA_CENTRE
+        for watcher in self._live_watchers():
+            if is_for_all_regions or watcher.region == region:
+                self._send_changes(watcher)
 
-    def _tell_again(self) -> None:
-        """Send anew what an entry has not confirmed.
+    def _resend_unacknowledged(self) -> None:
+        """Resend changes that an entry has not acknowledged.
 
-        What was on a connection that broke is gone.
+        Messages in flight are lost when a connection breaks.
         """
         now = self._clock.monotonic()
-        for watcher in self._fresh_watchers():
+        for watcher in self._live_watchers():
             if watcher.is_behind(now):
-                self._tell(watcher)
+                self._send_changes(watcher)
 
-    def _tell(self, watcher: _Watcher) -> None:
-        watcher.told_serial = self._book.serial
-        watcher.told_at = self._clock.monotonic()
-        self._send(watcher, with_rooms=False)
+    def _send_changes(self, watcher: _Watcher) -> None:
+        watcher.sent_serial = self._table.serial
+        watcher.sent_at = self._clock.monotonic()
+        self._send(watcher, with_capacities=False)
 
-    def _fresh_watchers(self) -> list[_Watcher]:
-        seconds = fresh_seconds(len(self._watchers_by_id))
+    def _live_watchers(self) -> list[_Watcher]:
+        seconds = liveness_timeout(len(self._watchers_by_id))
         since = self._clock.monotonic() - seconds
         return [
             watcher
             for watcher in self._watchers_by_id.values()
-            if watcher.heard_at >= since
+            if watcher.received_at >= since
         ]
 
-    def _send(self, watcher: _Watcher, *, with_rooms: bool) -> None:
+    def _send(self, watcher: _Watcher, *, with_capacities: bool) -> None:
         data_centres = frozenset(
             name
             for name, region in self._regions_by_data_centre.items()
             if region == watcher.region
         )
-        book = self._book
-        message = Watched(
+        table = self._table
+        message = RegistrationUpdate(
             epoch=self._peers.identity.incarnation,
-            after=watcher.serial,
-            serial=book.serial,
-            registrations=book.changes_after(watcher.serial, data_centres),
-            rooms=self._sum_rooms() if with_rooms else None,
-            entries_here=self.count_watchers(watcher.region),
-            entries_everywhere=self.count_watchers(),
+            base_serial=watcher.serial,
+            serial=table.serial,
+            registrations=table.changes_after(watcher.serial, data_centres),
+            capacities=self._sum_capacities() if with_capacities else None,
+            region_entries=self.count_watchers(watcher.region),
+            total_entries=self.count_watchers(),
             revision=self._read_revision(),
         )
         self._peers.send(watcher.address, message)
 
-    def _sum_rooms(self) -> list[ServiceRoom]:
+    def _sum_capacities(self) -> list[ServiceRoom]:
         loads_by_id = self._sum_loads()
         sums: dict[tuple[str, str], tuple[int, int, Load]] = {}
-        for registration in self._book.live():
+        for registration in self._table.live():
             region = self._regions_by_data_centre.get(registration.data_centre)
             if region is None:
                 continue
@@ -189,10 +199,10 @@
         ]
 
     def _sum_loads(self) -> dict[str, Load]:
-        since = self._clock.monotonic() - LOAD_SECONDS
+        since = self._clock.monotonic() - MAX_LOAD_AGE_SECONDS
         sums: dict[str, Load] = {}
         for watcher in self._watchers_by_id.values():
-            if watcher.load_at < since:
+            if watcher.load_received_at < since:
                 continue
             for endpoint_id, ranks in watcher.load_by_id.items():
                 load = sums.setdefault(endpoint_id, Load())
@@ -201,5 +211,5 @@
 
     def _forget_watchers(self, now: float) -> None:
         for vm_id, watcher in list(self._watchers_by_id.items()):
-            if now - watcher.heard_at > COUNT_SECONDS:
+            if now - watcher.received_at > ENTRY_COUNT_WINDOW_SECONDS:
                 del self._watchers_by_id[vm_id]
--- a/burdockdrum/registrations/services.py
+++ b/burdockdrum/registrations/services.py
@@ -1,4 +1,4 @@
-"""Name the services of this package."""
+"""Registers the services of this package with the kernel."""
 
 import random
 
@@ -18,9 +18,9 @@
 
 
 def add_services(kernel: Kernel) -> None:
-    """Name what hears endpoints, on a control VM, or follows them."""
+    """Register the services of a control VM or of an entry."""
     if kernel.has("log"):
-        kernel.add("registration_book", _build_book)
+        kernel.add("registration_book", _build_table)
         kernel.add("registration_publisher", _build_publisher)
         kernel.add("registration_store", _build_store)
     else:
@@ -28,7 +28,7 @@
         kernel.add("load_sharing", _build_load_sharing)
 
 
-def _build_book(kernel: Kernel) -> RegistrationBook:
+def _build_table(kernel: Kernel) -> RegistrationBook:
     return RegistrationBook(clock=kernel.find("clock", Clock))
 
 
@@ -36,7 +36,7 @@
     return RegistrationStore(
         clock=kernel.find("clock", Clock),
         disk=kernel.find("disk", Disk),
-        book=kernel.find("registration_book", RegistrationBook),
+        table=kernel.find("registration_book", RegistrationBook),
     )
 
 
@@ -46,7 +46,7 @@
     return RegistrationPublisher(
         peers=kernel.find("peers", Peers),
         clock=kernel.find("clock", Clock),
-        book=kernel.find("registration_book", RegistrationBook),
+        table=kernel.find("registration_book", RegistrationBook),
         regions_by_data_centre=settings.topology.regions_by_data_centre,
         read_revision=lambda: configuration.current.revision,
     )
@@ -59,7 +59,7 @@
         clock=kernel.find("clock", Clock),
         rng=kernel.find("random", random.Random),
         control_addresses=lambda: configuration.control_addresses,
-        take_revision=configuration.note_revision,
+        on_revision=configuration.note_revision,
     )
 
 
@@ -83,7 +83,7 @@
         clock=kernel.find("clock", Clock),
         read_entries=read_entries,
         read_draining=lambda: directory.draining,
-        read_rooms=lambda: registrations.rooms,
+        read_capacities=lambda: registrations.capacities,
     )
     registrations.read_report = sharing.read_report
     return sharing
--- a/burdockdrum/registrations/starts.py
+++ b/burdockdrum/registrations/starts.py
@@ -1,49 +1,45 @@
-"""Tell the starts of an endpoint apart.
+"""Distinguishes the incarnations of an endpoint.
 
-An endpoint may start again under the id that it had. It then holds nothing
-and has a new count of check-ins, so all that is known of it, its load, what
-it holds, its health, must end with the start that it was known of. Inside,
-each start therefore has an id of its own, and everything is kept by that.
-
-Starts are ordered by when the endpoint says that they began. That is its own
-clock's word: it is compared with nothing but another such time of the same
-endpoint.
+An endpoint may restart under the same id with an empty cache and a new
+sequence of check-ins. Its former load, cached prefixes and health no longer
+apply, so everything is stored by an id of the incarnation. Incarnations are
+ordered by their start times, which the endpoint reports by its own clock;
+these are only compared with others of the same endpoint.
 """
 
 from collections.abc import Container
 
-# Of an endpoint that tells no time of its start: its id is new each time.
+# For endpoints that report no start time; these change their id on a restart.
 UNKNOWN_START = 0
 
 
 def name_start(name: str, born: int) -> str:
-    """Return the id of one start of an endpoint.
+    """Return the id of one incarnation of an endpoint.
 
-    :param name: the id that the endpoint goes by
-    :param born: when it started, in milliseconds of its own clock
+    :param name: the id that the endpoint reports
+    :param born: its start time, in milliseconds of its own clock
     """
     return name if born == UNKNOWN_START else f"{name}@{born}"
 
 
-class NewestStarts:
-    """The newest start of each endpoint that was heard of."""
+class LatestIncarnations:
+    """The latest known incarnation of each endpoint."""
 
     def __init__(self) -> None:
-        """Know of none."""
+        """Create an empty table."""
         self._born_by_name: dict[str, int] = {}
 
-    def is_former(self, name: str, born: int) -> bool:
-        """Say whether a newer start of the endpoint is known.
+    def is_outdated(self, name: str, born: int) -> bool:
+        """Return whether a newer incarnation of the endpoint is known.
 
-        A start without a time, of an endpoint that has told one, is what
-        another writer made up, or older than that.
+        One without a start time counts as older than any with one.
         """
         return born < self._born_by_name.get(name, UNKNOWN_START)
 
-    def take(self, name: str, born: int) -> bool:
-        """Take note of a start.
+    def observe(self, name: str, born: int) -> bool:
+        """Record an incarnation if it is the latest.
 
-        :returns: whether it takes the place of a former one
+        :returns: whether it replaces a known one
         """
         known = self._born_by_name.get(name)
         if known is not None and born <= known:
@@ -51,8 +47,8 @@
         self._born_by_name[name] = born
         return known is not None
 
-    def keep_only(self, names: Container[str]) -> None:
-        """Forget the endpoints that nothing late may arrive of."""
+    def retain(self, names: Container[str]) -> None:
+        """Remove all endpoints but those named."""
         for name in list(self._born_by_name):
             if name not in names:
                 del self._born_by_name[name]
--- a/burdockdrum/registrations/store.py
+++ b/burdockdrum/registrations/store.py
@@ -1,13 +1,9 @@
-"""Keep what a control VM knows of endpoints through its restarts.
+"""Persists a control VM's registrations across restarts.
 
-After a loss of all power entries know every endpoint at once, not only those
-that have checked in again.
-
-What was known last is read back at the start and counts as heard then: an
-endpoint that lives checks in soon, and another one is passed over at the
-first connection that fails and falls silent like any other. An endpoint that
-has left since, or whose leaving was not written yet, says so again with its
-next check-in.
+After a power failure entries know every endpoint at once, not only those that
+have checked in again. Restored registrations count as received at the start:
+live endpoints soon check in with their current state, and the others time out
+as usual.
 """
 
 import msgspec
@@ -20,53 +16,53 @@
 from burdockdrum.registrations.book import RegistrationBook
 from burdockdrum.registrations.messages import Registration
 
-# A change is on the disk after so long. Check-ins without news change
-# nothing, so a calm control VM writes nothing.
-WRITE_SECONDS = 0.25
-# What is older says little of who lives. The time of day may have been set
-# meanwhile; then it is taken for older, or the silent ones are found out.
+# Check-ins without a change cause no write.
+WRITE_INTERVAL_SECONDS = 0.25
+# An older file says little about which endpoints are alive. The wall clock may
+# have been set meanwhile; then the file is ignored, or stale endpoints time
+# out.
 MAX_AGE_SECONDS = 60.0
-_NAME = "registrations"
-_TEMPORARY = "registrations.new"
+_FILE_NAME = "registrations"
+_TEMPORARY_FILE_NAME = "registrations.new"
 
 
 class StoredRegistrations(msgspec.Struct, frozen=True, kw_only=True):
-    """The content of the file; ``written_at`` is the time of day."""
+    """The content of the file; ``written_at`` is wall clock time."""
 
     written_at: float
     registrations: list[Registration]
 
 
 class RegistrationStore:
-    """The file of one control VM's registrations."""
+    """Stores a control VM's registrations in a file."""
 
     def __init__(
-        self, *, clock: Clock, disk: Disk, book: RegistrationBook
+        self, *, clock: Clock, disk: Disk, table: RegistrationBook
     ) -> None:
-        """Create it over a book that has heard nothing yet."""
+        """Create a store for a table that is still empty."""
         self._clock = clock
         self._disk = disk
-        self._book = book
+        self._table = table
         self._written_serial = 0
 
     async def run(self) -> None:
-        """Read the file back, then write each change until cancelled."""
+        """Restore the file, then write changes until cancelled."""
         await self._restore()
         while True:
-            await self._clock.sleep(WRITE_SECONDS)
-            if self._book.serial == self._written_serial:
+            await self._clock.sleep(WRITE_INTERVAL_SECONDS)
+            if self._table.serial == self._written_serial:
                 continue
             try:
                 await self._write()
             except DiskError as error:
-                # After a failed sync nothing that is written may last. The
-                # next start knows less; all else goes on.
+                # After a failed sync no later write can be trusted. Only the
+                # next start is affected, so the VM keeps running.
                 log_failure("registrations.not_stored", reason=str(error))
                 return
 
     async def _restore(self) -> None:
         try:
-            content = await self._disk.read(_NAME)
+            content = await self._disk.read(_FILE_NAME)
         except DiskError as error:
             log_failure("registrations.not_restored", reason=str(error))
             return
@@ -81,19 +77,21 @@
         if not 0 <= age <= MAX_AGE_SECONDS:
             log_decision("registrations.too_old", age=round(age, 1))
             return
-        number = self._book.restore(stored.registrations)
+        count = self._table.restore(stored.registrations)
         log_decision(
-            "registrations.restored", endpoints=number, age=round(age, 3)
+            "registrations.restored", endpoints=count, age=round(age, 3)
         )
 
     async def _write(self) -> None:
-        serial = self._book.serial
+        serial = self._table.serial
         stored = StoredRegistrations(
             written_at=self._clock.wall(),
-            registrations=self._book.present(),
+            registrations=self._table.ready_or_draining(),
+        )
+        await self._disk.write(
+            _TEMPORARY_FILE_NAME, msgspec.msgpack.encode(stored)
         )
-        await self._disk.write(_TEMPORARY, msgspec.msgpack.encode(stored))
-        await self._disk.sync(_TEMPORARY)
-        await self._disk.rename(_TEMPORARY, _NAME)
+        await self._disk.sync(_TEMPORARY_FILE_NAME)
+        await self._disk.rename(_TEMPORARY_FILE_NAME, _FILE_NAME)
         await self._disk.sync_folder()
         self._written_serial = serial
--- a/tests/registrations/__init__.py
+++ b/tests/registrations/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of endpoints that check in at control VMs."""
+"""Tests of the registry of endpoints and the sharing of their loads."""
--- a/tests/registrations/test_book.py
+++ b/tests/registrations/test_book.py
@@ -1,10 +1,10 @@
-"""Tests of what a control VM makes of check-ins."""
+"""Tests of the registrations that a control VM keeps."""
 
 import unittest
 
-from burdockdrum.registrations.book import FORGET_SECONDS
+from burdockdrum.registrations.book import CHECK_IN_TIMEOUT_SECONDS
+from burdockdrum.registrations.book import EXPIRY_SECONDS
 from burdockdrum.registrations.book import RegistrationBook
-from burdockdrum.registrations.book import SILENT_SECONDS
 from burdockdrum.registrations.messages import Registration
 from burdockdrum.registrations.messages import RegistrationState
 
@@ -12,7 +12,7 @@
 
 
 class SteppedClock:
-    """A clock that a test moves."""
+    """A clock that only moves when a test sets it."""
 
     def __init__(self):
         """Start at 100 s."""
@@ -36,69 +36,69 @@
 
 
 class BookTest(unittest.TestCase):
-    """Check-ins in and out of order."""
+    """Check-ins that arrive in and out of order."""
 
     def setUp(self):
         self.clock = SteppedClock()
-        self.book = RegistrationBook(clock=self.clock)
+        self.table = RegistrationBook(clock=self.clock)
 
     def states(self, serial=0):
-        changes = self.book.changes_after(serial, HERE)
+        changes = self.table.changes_after(serial, HERE)
         return {r.endpoint_id: r.state.value for r in changes}
 
-    def test_check_in_that_says_the_same_is_no_change(self):
-        self.book.take(make(sequence=1, cold_seconds=2.0))
-        serial = self.book.serial
-        self.book.take(make(sequence=2, cold_seconds=1.0))
-        self.assertEqual(serial, self.book.serial)
+    def test_check_in_without_news_is_no_change(self):
+        self.table.take(make(sequence=1, cold_seconds=2.0))
+        serial = self.table.serial
+        self.table.take(make(sequence=2, cold_seconds=1.0))
+        self.assertEqual(serial, self.table.serial)
 
-    def test_becoming_cold_again_is_a_change(self):
-        self.book.take(make(sequence=1))
-        serial = self.book.serial
-        self.book.take(make(sequence=2, cold_seconds=3.0))
+    def test_new_slow_start_is_a_change(self):
+        self.table.take(make(sequence=1))
+        serial = self.table.serial
+        self.table.take(make(sequence=2, cold_seconds=3.0))
         self.assertEqual({"e1": "ready"}, self.states(serial))
 
-    def test_late_check_in_does_not_undo_a_notice(self):
-        # The endpoint says that it leaves; an earlier check-in, delayed on
-        # its way, arrives after that. Nobody may send it work again.
-        self.book.take(make(sequence=5, state="leaving"))
-        self.assertFalse(self.book.take(make(sequence=4)))
+    def test_late_check_in_does_not_undo_a_drain_notice(self):
+        # An earlier check-in arrives after the notice; entries must not send
+        # requests to the draining endpoint again.
+        self.table.take(make(sequence=5, state="leaving"))
+        self.assertFalse(self.table.take(make(sequence=4)))
         self.assertEqual({"e1": "leaving"}, self.states())
 
     def test_end_is_final(self):
-        self.book.take(make(sequence=1))
-        self.book.end("e1")
-        self.assertFalse(self.book.take(make(sequence=9)))
+        self.table.take(make(sequence=1))
+        self.table.end("e1")
+        self.assertFalse(self.table.take(make(sequence=9)))
         self.assertEqual({"e1": "gone"}, self.states())
 
-    def test_late_check_in_of_a_start_before_is_dropped(self):
-        # The endpoint crashed behind a cut and another start has its
-        # address. A check-in of the first, held back by the cut, arrives.
-        self.book.take(make("new", sequence=2))
-        self.assertFalse(self.book.take(make("old", sequence=40)))
+    def test_late_check_in_of_a_former_endpoint_is_ignored(self):
+        # The endpoint crashed during a partition, and a new one has its
+        # address. A check-in delayed by the partition must not replace it.
+        self.table.take(make("new", sequence=2))
+        self.assertFalse(self.table.take(make("old", sequence=40)))
         self.assertEqual({"new": "ready"}, self.states())
 
-    def test_silence_is_told_and_a_check_in_ends_it(self):
-        self.book.take(make(sequence=1))
-        self.clock.now += SILENT_SECONDS + 0.1
-        self.book.prune()
+    def test_check_in_timeout_and_recovery_are_published(self):
+        self.table.take(make(sequence=1))
+        self.clock.now += CHECK_IN_TIMEOUT_SECONDS + 0.1
+        self.table.prune()
         self.assertEqual({"e1": "silent"}, self.states())
-        self.book.take(make(sequence=2))
+        self.table.take(make(sequence=2))
         self.assertEqual({"e1": "ready"}, self.states())
-        self.clock.now += FORGET_SECONDS + 0.1
-        self.book.prune()
-        self.book.prune()
+        self.clock.now += EXPIRY_SECONDS + 0.1
+        self.table.prune()
+        self.table.prune()
         self.assertEqual({"e1": "forgotten"}, self.states())
 
-    def test_silence_does_not_undo_a_notice(self):
-        self.book.take(make(sequence=1, state="leaving"))
-        self.clock.now += SILENT_SECONDS + 0.1
-        self.book.prune()
+    def test_check_in_timeout_does_not_undo_a_drain_notice(self):
+        self.table.take(make(sequence=1, state="leaving"))
+        self.clock.now += CHECK_IN_TIMEOUT_SECONDS + 0.1
+        self.table.prune()
         self.assertEqual({"e1": "leaving"}, self.states())
 
-    def test_time_until_warm_is_counted_down(self):
-        self.book.take(make(cold_seconds=3.0, seconds_left=2.0))
+    def test_remaining_times_are_counted_down(self):
+        self.table.take(make(cold_seconds=3.0, seconds_left=2.0))
         self.clock.now += 1.0
-        (told,) = self.book.changes_after(0, HERE)
-        self.assertAlmostEqual(2.0, told.cold_seconds)
-        self.assertAlmostEqual(1.0, told.seconds_left)
+        (changed,) = self.table.changes_after(0, HERE)
+        self.assertAlmostEqual(2.0, changed.cold_seconds)
+        self.assertAlmostEqual(1.0, changed.seconds_left)
--- a/tests/registrations/test_following.py
+++ b/tests/registrations/test_following.py
@@ -1,4 +1,4 @@
-"""Tests of entries that follow several control VMs, in memory."""
+"""Tests of entries that receive registrations from several control VMs."""
 
 import asyncio
 import random
@@ -42,17 +42,17 @@
         self.rng = random.Random(seed)
         self.network = FakeNetwork(rng=random.Random(seed))
         self.network.set_default(delay=0.055)
-        self.books = {}
+        self.tables = {}
         self.followers = {}
         self.tasks = {}
         self.addresses = {n: f"tcp://{n}:1" for n in "ab"}
         self.incarnation = 0
-        # What entries report; none where another one does it for them.
+        # The load report by entry, None if another entry reports for it.
         self.reports = {}
         self.metrics_by_name = {}
 
     async def start(self, name):
-        """Start a VM, or start it again with nothing in memory."""
+        """Start or restart a VM with empty state."""
         self.incarnation += 1
         metrics = Metrics()
         address = f"tcp://{name}:1"
@@ -73,11 +73,11 @@
             metrics=metrics,
         )
         if name in self.addresses:
-            book = self.books[name] = RegistrationBook(clock=self.clock)
+            table = self.tables[name] = RegistrationBook(clock=self.clock)
             service = RegistrationPublisher(
                 peers=peers,
                 clock=self.clock,
-                book=book,
+                table=table,
                 regions_by_data_centre=REGIONS,
                 read_revision=lambda: 0,
             )
@@ -93,7 +93,7 @@
         self.tasks[name] = asyncio.create_task(self._run(peers, service))
 
     async def stop(self, name):
-        """End a VM."""
+        """Stop a VM."""
         task = self.tasks.pop(name)
         task.cancel()
         await asyncio.wait({task})
@@ -131,30 +131,28 @@
 
 
 class FollowingTest(unittest.TestCase):
-    """What entries know, and when."""
+    """The view that entries have of endpoints."""
 
-    def test_every_entry_hears_a_notice_at_once(self):
-        # An endpoint tells one control VM that it leaves. Both entries give
-        # it nothing new a moment later, far inside the three seconds after
-        # which a request there would break a promise.
+    def test_drain_notice_reaches_every_entry_at_once(self):
+        # An entry that learns of it late would still route requests to a
+        # draining endpoint.
         async def check(world):
-            world.books["a"].take(make("e1"))
+            world.tables["a"].take(make("e1"))
             await asyncio.sleep(0.5)
-            world.books["a"].take(make("e1", sequence=2, state="leaving"))
+            world.tables["a"].take(make("e1", sequence=2, state="leaving"))
             await asyncio.sleep(0.2)
             for follower in world.followers.values():
                 self.assertTrue(follower.endpoints_by_id["e1"].leaving)
 
         play(check)
 
-    def test_lost_notice_is_told_again(self):
-        # The message with the notice is lost on its way to one entry; the
-        # next question shows what it lacks.
+    def test_lost_notice_is_resent(self):
+        # The drain notice is lost on its way to one entry.
         async def check(world):
-            world.books["a"].take(make("e1"))
+            world.tables["a"].take(make("e1"))
             await asyncio.sleep(0.5)
             world.network.cut(["a"], ["x"])
-            world.books["a"].take(make("e1", sequence=2, state="leaving"))
+            world.tables["a"].take(make("e1", sequence=2, state="leaving"))
             await asyncio.sleep(0.4)
             world.network.heal(["a"], ["x"])
             await asyncio.sleep(1.0)
@@ -162,29 +160,28 @@
 
         play(check)
 
-    def test_notice_at_one_control_vm_outweighs_silence_at_another(self):
-        # The endpoint checked in at a, moved to b and left there. At a it
-        # only falls silent; what it said last counts.
+    def test_drain_notice_takes_precedence_over_unreachable(self):
+        # The endpoint checks in at a, then drains at b. At a it only becomes
+        # unreachable, which must not hide the notice.
         async def check(world):
-            world.books["a"].take(make("e1", sequence=1))
-            world.books["b"].take(make("e1", sequence=2, state="leaving"))
+            world.tables["a"].take(make("e1", sequence=1))
+            world.tables["b"].take(make("e1", sequence=2, state="leaving"))
             await asyncio.sleep(6)
             self.assertTrue(world.followers["x"].endpoints_by_id["e1"].leaving)
 
         play(check)
 
-    def test_end_said_at_a_control_vm_that_never_heard_of_it(self):
-        # The endpoint checked in at a. Without a notice it says at b that
-        # it ends, and b acknowledges: no entry may send it work any more,
-        # though at a it seems ready for some seconds.
+    def test_end_reported_at_control_vm_that_does_not_know_the_endpoint(self):
+        # The endpoint checked in at a and reports its end at b. Entries must
+        # not use it any more, though a still lists it as ready.
         async def check(world):
-            world.books["a"].take(make("e1"))
+            world.tables["a"].take(make("e1"))
             await asyncio.sleep(0.5)
-            world.books["b"].end("e1")
+            world.tables["b"].end("e1")
             await asyncio.sleep(0.2)
             for follower in world.followers.values():
                 self.assertNotIn("e1", follower.endpoints_by_id)
-            world.books["a"].take(make("e1", sequence=2))
+            world.tables["a"].take(make("e1", sequence=2))
             await world.stop("x")
             await world.start("x")
             await asyncio.sleep(1)
@@ -192,47 +189,47 @@
 
         play(check)
 
-    def test_restarted_control_vm_takes_nothing_away_at_once(self):
-        # A control VM restarts and knows nothing. Its endpoints serve on
-        # until they have checked in again; one that never does is dropped.
+    def test_restart_of_control_vm_keeps_endpoints_for_a_grace_period(self):
+        # Otherwise a control VM with an empty table would remove all its
+        # endpoints; those that don't check in again are removed later.
         async def check(world):
-            world.books["a"].take(make("e1"))
-            world.books["a"].take(make("e2"))
+            world.tables["a"].take(make("e1"))
+            world.tables["a"].take(make("e2"))
             await asyncio.sleep(0.5)
             await world.stop("a")
             await world.start("a")
             await asyncio.sleep(1)
             follower = world.followers["x"]
             self.assertEqual({"e1", "e2"}, set(follower.endpoints_by_id))
-            world.books["b"].take(make("e1", sequence=2))
+            world.tables["b"].take(make("e1", sequence=2))
             await asyncio.sleep(7)
             self.assertEqual({"e1"}, set(follower.endpoints_by_id))
 
         play(check)
 
-    def test_last_knowledge_stays_while_no_control_vm_answers(self):
+    def test_endpoints_are_kept_while_no_control_vm_is_reachable(self):
         async def check(world):
-            world.books["a"].take(make("e1"))
+            world.tables["a"].take(make("e1"))
             await asyncio.sleep(0.5)
             world.network.cut(["a", "b"], ["x"])
             await asyncio.sleep(20)
             self.assertIn("e1", world.followers["x"].endpoints_by_id)
-            self.assertFalse(world.followers["x"].is_heard(3))
+            self.assertFalse(world.followers["x"].has_recent_update(3))
 
         play(check)
 
-    def test_rooms_of_all_control_vms_are_added_up(self):
-        # Each control VM hears some of another region's endpoints. An entry
-        # that took one's word for all would find no room there at times,
-        # and refuse what that region could serve.
+    def test_capacities_of_all_control_vms_are_added_up(self):
+        # Each control VM knows some of another region's endpoints. With the
+        # report of only one, an entry would reject requests that the region
+        # has capacity for.
         async def check(world):
-            world.books["a"].take(make("f1", data_centre="far"))
-            world.books["b"].take(make("f2", data_centre="far"))
+            world.tables["a"].take(make("f1", data_centre="far"))
+            world.tables["b"].take(make("f2", data_centre="far"))
             await asyncio.sleep(1)
             for _ in range(10):
                 await asyncio.sleep(0.11)
-                (room,) = world.followers["x"].rooms
-                self.assertEqual((2, 8), (room.endpoints, room.slots))
+                (capacity,) = world.followers["x"].capacities
+                self.assertEqual((2, 8), (capacity.endpoints, capacity.slots))
 
         play(check)
 
@@ -240,7 +237,7 @@
         async def check(world):
             await asyncio.sleep(1)
             self.assertEqual(2, world.followers["x"].entries_here)
-            # One that is gone still counts for a while: it may be cut off.
+            # A stopped one still counts for a while: it may be partitioned.
             await world.stop("y")
             await asyncio.sleep(5)
             self.assertEqual(2, world.followers["x"].entries_here)
@@ -249,37 +246,37 @@
 
 
 class ManyEntriesTest(unittest.TestCase):
-    """A hundred entries, most of which report nothing themselves."""
+    """A hundred entries, most of which don't report loads themselves."""
 
     NAMES = tuple(f"e{number}" for number in range(100))
 
-    def test_entries_ask_rarely_and_hear_at_once(self):
-        # An endpoint leaves. Each entry asks a control VM every two seconds
-        # or so, and the notice must not wait for that.
+    def test_entries_poll_rarely_but_receive_changes_at_once(self):
+        # Each entry polls a control VM only every two seconds or so; a drain
+        # notice must not wait for that.
         async def check(world):
             await asyncio.sleep(5)
-            world.books["a"].take(make("e1"))
+            world.tables["a"].take(make("e1"))
             await asyncio.sleep(0.5)
             before = world.frames("e5"), world.frames("a")
             await asyncio.sleep(4)
-            asked = world.frames("e5") - before[0]
-            self.assertLess(asked / 4, 2.5)
+            polled = world.frames("e5") - before[0]
+            self.assertLess(polled / 4, 2.5)
             self.assertLess((world.frames("a") - before[1]) / 4, 110)
-            world.books["a"].take(make("e1", sequence=2, state="leaving"))
+            world.tables["a"].take(make("e1", sequence=2, state="leaving"))
             await asyncio.sleep(0.2)
             for follower in world.followers.values():
                 self.assertTrue(follower.endpoints_by_id["e1"].leaving)
 
         play(check, self.NAMES)
 
-    def test_lost_notice_is_told_again_before_the_next_question(self):
-        # The connection to one entry takes the notice and loses it. It is
-        # sent anew within half a second, not with the next question.
+    def test_lost_notice_is_resent_before_the_next_poll(self):
+        # A notice lost with a connection must be resent without waiting for
+        # the entry's next poll.
         async def check(world):
-            world.books["a"].take(make("e1"))
+            world.tables["a"].take(make("e1"))
             await asyncio.sleep(5)
             world.network.cut(["a"], ["e5"])
-            world.books["a"].take(make("e1", sequence=2, state="leaving"))
+            world.tables["a"].take(make("e1", sequence=2, state="leaving"))
             await asyncio.sleep(0.2)
             world.network.heal(["a"], ["e5"])
             await asyncio.sleep(1.0)
@@ -288,25 +285,25 @@
 
         play(check, self.NAMES)
 
-    def test_what_is_confirmed_is_not_told_again(self):
+    def test_acknowledged_change_is_not_resent(self):
         async def check(world):
             await asyncio.sleep(8)
-            world.books["a"].take(make("e1"))
+            world.tables["a"].take(make("e1"))
             await asyncio.sleep(0.5)
             before = world.frames("a")
             await asyncio.sleep(4)
             usual = world.frames("a") - before
-            world.books["a"].take(make("e1", sequence=2, state="leaving"))
+            world.tables["a"].take(make("e1", sequence=2, state="leaving"))
             await asyncio.sleep(4)
-            # A notice to each of 102 entries, and its confirmation.
-            told = world.frames("a") - before - 2 * usual
-            self.assertLess(abs(told - 204), 0.1 * usual)
+            # A notice to each of 102 entries, and its acknowledgement.
+            sent = world.frames("a") - before - 2 * usual
+            self.assertLess(abs(sent - 204), 0.1 * usual)
 
         play(check, self.NAMES)
 
-    def test_questions_are_spread(self):
-        # All entries start at the same moment. Were they to ask at the same
-        # moments for good, control VMs would fall behind once a round.
+    def test_polls_are_spread_by_jitter(self):
+        # All entries start simultaneously. Without jitter, their polls would
+        # overload control VMs once each interval.
         async def check(world):
             await asyncio.sleep(20)
             counts = []
--- a/tests/registrations/test_load_sharing.py
+++ b/tests/registrations/test_load_sharing.py
@@ -1,4 +1,4 @@
-"""Tests of entries that share what they have under way, in memory."""
+"""Tests of entries that share their loads."""
 
 import asyncio
 import random
@@ -17,13 +17,13 @@
 from burdockdrum.testing import VirtualClock
 from burdockdrum.timeline import HybridClock
 
-ROOM = ServiceRoom("there", "s", 3, 12, [RankLoad(0, 5, 100)])
-# What a data centre tells of its entries to another one.
-SEEN_FROM_OUTSIDE = 3
+CAPACITY = ServiceRoom("there", "s", 3, 12, [RankLoad(0, 5, 100)])
+# The number of entries that other data centres know of each data centre.
+VISIBLE_FROM_OTHER_DATA_CENTRES = 3
 
 
 class Entry:
-    """One entry; ``running`` counts its requests by endpoint."""
+    """One entry; ``running`` has its number of requests by endpoint."""
 
     def __init__(self, world, name, data_centre):
         """Create an entry that has not started."""
@@ -39,13 +39,13 @@
         )
         self.running = {}
         self.placed = []
-        self.heard = []
+        self.received = []
         self.sharing = None
         self.task = None
         self.metrics = Metrics()
 
     async def start(self):
-        """Share from now on."""
+        """Start sharing."""
         peers = Peers(
             identity=self.identity,
             mailbox=await self.world.network.host(self.identity.vm_id).open(
@@ -60,13 +60,13 @@
         self.sharing = LoadSharing(
             peers=peers,
             clock=self.world.clock,
-            read_entries=lambda: self.world.seen_by(self),
+            read_entries=lambda: self.world.visible_to(self),
             read_draining=lambda: self.identity.vm_id in self.world.draining,
             read_load=self.read_load,
-            read_rooms=lambda: [ROOM],
+            read_capacities=lambda: [CAPACITY],
         )
         self.sharing.take_placed = self.take_placed
-        self.sharing.hear_placed = self.heard.extend
+        self.sharing.hear_placed = self.received.extend
         self.task = asyncio.create_task(self.run(peers))
 
     async def run(self, peers):
@@ -79,12 +79,12 @@
             await peers.close()
 
     async def stop(self):
-        """End at once, as if killed."""
+        """Stop at once, as if killed."""
         self.task.cancel()
         await asyncio.wait({self.task})
 
     def read_load(self):
-        """Return the load for messages."""
+        """Return the own load in the form of messages."""
         return {
             endpoint_id: [RankLoad(1, count, 10 * count)]
             for endpoint_id, count in self.running.items()
@@ -92,12 +92,12 @@
         }
 
     def take_placed(self):
-        """Return what was placed since the last call."""
+        """Return and remove the placements since the last call."""
         placed, self.placed = self.placed, []
         return placed
 
-    def others_at(self, endpoint_id):
-        """Return the requests that the others have there."""
+    def load_of_others(self, endpoint_id):
+        """Return the number of requests of other entries at an endpoint."""
         return self.sharing.load_of(endpoint_id).requests
 
     def frames(self):
@@ -128,31 +128,31 @@
             for number in range(size)
         ]
         self.draining = set()
-        # Whom membership has not noticed to be gone yet is still listed.
-        self.noticed = set()
+        # The entries whose failure membership has detected.
+        self.detected = set()
 
-    def seen_by(self, entry):
-        """Return what membership tells an entry: few of other places."""
+    def visible_to(self, entry):
+        """Return the entries that membership lists for an entry."""
         own = entry.identity.data_centre
         seen = []
         for other in self.entries:
             name = other.identity.vm_id
-            if other is entry or name in self.noticed | self.draining:
+            if other is entry or name in self.detected | self.draining:
                 continue
             number = int(name[1:])
             if other.identity.data_centre == own or (
-                number < SEEN_FROM_OUTSIDE
+                number < VISIBLE_FROM_OTHER_DATA_CENTRES
             ):
                 seen.append(other.identity)
         return seen
 
-    def keepers(self):
-        """Return the entries that sum up."""
-        return [e for e in self.entries if e.sharing.is_keeper]
+    def aggregators(self):
+        """Return the entries that are aggregators."""
+        return [e for e in self.entries if e.sharing.is_aggregator]
 
 
 def play(sizes, test):
-    """Run a test over entries that have shared for two seconds."""
+    """Run a test with entries that have shared loads for two seconds."""
 
     async def main():
         world = World(*sizes)
@@ -167,68 +167,65 @@
 
 
 class FewEntriesTest(unittest.TestCase):
-    """A handful of entries tell each other directly."""
+    """A few entries, which broadcast their loads."""
 
-    def test_others_know_within_two_ticks(self):
+    def test_others_know_a_load_within_two_intervals(self):
         async def check(world):
             first, second, third = world.entries
             first.running["e"] = 2
             second.running["e"] = 1
             await asyncio.sleep(0.25)
-            counts = [entry.others_at("e") for entry in world.entries]
+            counts = [entry.load_of_others("e") for entry in world.entries]
             self.assertEqual([1, 2, 3], counts)
-            self.assertEqual([], world.keepers())
+            self.assertEqual([], world.aggregators())
             self.assertIsNotNone(third.sharing.read_report())
 
         play([3], check)
 
     def test_load_of_an_entry_that_is_gone_is_dropped(self):
-        # An entry is killed with requests under way. Its endpoints would
-        # seem full to the others for good.
+        # Otherwise the endpoints of a killed entry would seem busy forever.
         async def check(world):
             first, second, _ = world.entries
             first.running["e"] = 3
             await asyncio.sleep(0.3)
-            self.assertEqual(3, second.others_at("e"))
+            self.assertEqual(3, second.load_of_others("e"))
             await first.stop()
             await asyncio.sleep(2)
-            self.assertEqual(0, second.others_at("e"))
+            self.assertEqual(0, second.load_of_others("e"))
 
         play([3], check)
 
 
 class ManyEntriesTest(unittest.TestCase):
-    """Each tells the keeper of its data centre, and hears from it."""
+    """Many entries, which report to the aggregator of their data centre."""
 
-    def test_every_entry_knows_what_all_others_have(self):
-        # Two data centres of a region with 14 entries each. A burst comes
-        # to all: an entry that knew of a part only would send where the
-        # others have sent already.
+    def test_every_entry_knows_the_load_of_all_others(self):
+        # With only a part of the load, an entry would route a burst to
+        # endpoints that other entries have filled already.
         async def check(world):
             for number, entry in enumerate(world.entries):
                 entry.running["e"] = number
             await asyncio.sleep(1.5)
             total = sum(range(28))
             for number, entry in enumerate(world.entries):
-                self.assertEqual(total - number, entry.others_at("e"))
+                self.assertEqual(total - number, entry.load_of_others("e"))
             for entry in world.entries:
                 entry.running.clear()
             await asyncio.sleep(1.5)
-            counts = {entry.others_at("e") for entry in world.entries}
+            counts = {entry.load_of_others("e") for entry in world.entries}
             self.assertEqual({0}, counts)
 
         play([14, 14], check)
 
-    def test_messages_do_not_grow_with_the_entries(self):
-        # Told directly, 28 entries would send and receive 54 frames a tick
-        # each. An entry's own frames stay below six a second, and a
-        # keeper's below a hundred.
+    def test_message_rate_does_not_grow_with_the_entries(self):
+        # Guards against broadcasts among many entries, which would take 54
+        # frames an interval at each of 28 entries.
         async def check(world):
             before = {e.address: e.frames() for e in world.entries}
             await asyncio.sleep(10)
             for entry in world.entries:
                 rate = (entry.frames() - before[entry.address]) / 10
-                limit = 100 if entry.sharing.is_keeper else 6
+                limit = 100 if entry.sharing.is_aggregator else 6
                 self.assertLess(rate, limit)
 
         play([14, 14], check)
@@ -239,48 +236,50 @@
                 entry.running["e"] = 1
             await asyncio.sleep(1.5)
             reports = [e.sharing.read_report() for e in world.entries]
-            told = [r for r in reports if r is not None]
-            self.assertEqual(2, len(told))
-            for report in told:
+            published = [r for r in reports if r is not None]
+            self.assertEqual(2, len(published))
+            for report in published:
                 [rank] = report["e"]
                 self.assertEqual(14, rank.requests)
 
         play([14, 14], check)
 
-    def test_killed_keeper_is_replaced_before_membership_notices(self):
-        # The keeper is killed; the lists name it for seconds. The others
-        # would each know of their own requests only, and all send to the
-        # endpoint that seems idle.
+    def test_killed_aggregator_is_replaced_before_membership_detects_it(self):
+        # Until then, the other entries would know only their own load, and
+        # all would route to the same endpoint that seems idle.
         async def check(world):
-            [keeper] = world.keepers()
-            rest = [entry for entry in world.entries if entry is not keeper]
-            await keeper.stop()
+            [aggregator] = world.aggregators()
+            rest = [
+                entry for entry in world.entries if entry is not aggregator
+            ]
+            await aggregator.stop()
             for entry in rest:
                 entry.running["e"] = 1
             await asyncio.sleep(2.5)
-            counts = {entry.others_at("e") for entry in rest}
+            counts = {entry.load_of_others("e") for entry in rest}
             self.assertEqual({len(rest) - 1}, counts)
-            self.assertEqual(1, sum(e.sharing.is_keeper for e in rest))
+            self.assertEqual(1, sum(e.sharing.is_aggregator for e in rest))
 
         play([8], check)
 
-    def test_draining_keeper_hands_over(self):
-        # The keeper is stopped. It keeps its own requests for seconds, and
-        # the others go on through another one without a gap.
+    def test_draining_aggregator_is_replaced(self):
+        # Its remaining requests must stay known to the other entries.
         async def check(world):
-            [keeper] = world.keepers()
-            world.draining.add(keeper.identity.vm_id)
-            keeper.running["e"] = 5
+            [aggregator] = world.aggregators()
+            world.draining.add(aggregator.identity.vm_id)
+            aggregator.running["e"] = 5
             await asyncio.sleep(1.5)
-            rest = [entry for entry in world.entries if entry is not keeper]
-            self.assertFalse(keeper.sharing.is_keeper)
-            self.assertEqual({5}, {e.others_at("e") for e in rest})
+            rest = [
+                entry for entry in world.entries if entry is not aggregator
+            ]
+            self.assertFalse(aggregator.sharing.is_aggregator)
+            self.assertEqual({5}, {e.load_of_others("e") for e in rest})
 
         play([8], check)
 
-    def test_cut_between_data_centres_leaves_each_its_own(self):
-        # What the other data centre has is unknown, and dropped; what is
-        # here is still known in full.
+    def test_partition_between_data_centres_drops_only_the_remote_load(self):
+        # The load of the other data centre must expire, and that of the own
+        # one must stay complete.
         async def check(world):
             for entry in world.entries:
                 entry.running["e"] = 1
@@ -288,11 +287,11 @@
             names = [e.identity.vm_id for e in world.entries]
             world.network.cut(names[:6], names[6:])
             await asyncio.sleep(3)
-            counts = {entry.others_at("e") for entry in world.entries}
+            counts = {entry.load_of_others("e") for entry in world.entries}
             self.assertEqual({5}, counts)
             world.network.heal(names[:6], names[6:])
             await asyncio.sleep(2.5)
-            counts = {entry.others_at("e") for entry in world.entries}
+            counts = {entry.load_of_others("e") for entry in world.entries}
             self.assertEqual({11}, counts)
 
         play([6, 6], check)
@@ -304,13 +303,12 @@
             await asyncio.sleep(2)
             for entry in world.entries:
                 expected = [] if entry is world.entries[3] else [placed]
-                self.assertEqual(expected, entry.heard)
+                self.assertEqual(expected, entry.received)
 
         play([6, 6], check)
 
-    def test_entries_that_were_not_heard_yet_are_counted(self):
-        # All VMs start at once. Until the first answers come an entry knows
-        # how many there are, and nothing of what they have under way.
+    def test_entries_without_a_report_are_counted(self):
+        # An entry without replies must know how many loads it lacks.
         async def check(world):
             for entry in world.entries:
                 self.assertEqual(0, entry.sharing.unheard)
@@ -323,7 +321,7 @@
 
         play([8], check)
 
-    def test_few_entries_that_were_not_heard_are_counted(self):
+    def test_few_entries_without_a_report_are_counted(self):
         async def check(world):
             first, second, third = world.entries
             self.assertEqual(0, first.sharing.unheard)
@@ -334,9 +332,9 @@
 
         play([3], check)
 
-    def test_rooms_come_with_the_answers(self):
+    def test_replies_contain_the_capacities(self):
         async def check(world):
             for entry in world.entries:
-                self.assertEqual([ROOM], entry.sharing.rooms)
+                self.assertEqual([CAPACITY], entry.sharing.rooms)
 
         play([6], check)
--- a/tests/registrations/test_load_sums.py
+++ b/tests/registrations/test_load_sums.py
@@ -1,4 +1,4 @@
-"""Tests of loads that several sources tell, added up by endpoint."""
+"""Tests of the sums of several sources' loads."""
 
 import unittest
 
@@ -32,7 +32,7 @@
 
 
 class LoadSumsTest(unittest.TestCase):
-    """Parts that are replaced and dropped in any order."""
+    """Reports that are replaced and removed in any order."""
 
     @drawn(200)
     @given(STEPS)
@@ -59,10 +59,9 @@
                     expected.recent_tokens, found.recent_tokens
                 )
 
-    def test_source_whose_load_has_faded_ends_nothing(self):
-        # Seen in a process that ended while it drained, with streams of
-        # callers in it: a neighbour told a load that had faded to nothing;
-        # the other source of the endpoint went first, then this one.
+    def test_removing_a_source_with_zero_load_does_not_fail(self):
+        # Guards against a crash: the sum was removed with the other source,
+        # before the source whose load had decayed to zero.
         faded = Load()
         faded.add(0, RankSum(recent_tokens=0.3))
         self.assertEqual([], faded.ranks())
--- a/tests/registrations/test_restarts.py
+++ b/tests/registrations/test_restarts.py
@@ -1,4 +1,4 @@
-"""Tests of endpoints that start again under the id that they had."""
+"""Tests of endpoints that restart under the same id."""
 
 import asyncio
 import unittest
@@ -32,83 +32,82 @@
 
 
 class RestartBookTest(unittest.TestCase):
-    """What one control VM makes of several starts."""
+    """Several incarnations of an endpoint at one control VM."""
 
     def setUp(self):
         self.clock = SteppedClock()
-        self.book = RegistrationBook(clock=self.clock)
+        self.table = RegistrationBook(clock=self.clock)
 
     def states(self):
-        changes = self.book.changes_after(0, HERE)
+        changes = self.table.changes_after(0, HERE)
         return {r.endpoint_id: r.state.value for r in changes}
 
-    def test_new_start_ends_the_former_one(self):
-        # The endpoint crashed after forty check-ins and counts from one
-        # again. By the count alone its check-ins would all be late ones.
-        self.book.take(make(1000, sequence=40))
-        self.assertTrue(self.book.take(make(2000, sequence=1)))
+    def test_new_incarnation_ends_the_former_one(self):
+        # The sequence of the restarted endpoint begins at one again. By the
+        # sequence alone, its check-ins would be ignored as late.
+        self.table.take(make(1000, sequence=40))
+        self.assertTrue(self.table.take(make(2000, sequence=1)))
         self.assertEqual(
             {"e1@1000": "gone", "e1@2000": "ready"}, self.states()
         )
 
-    def test_late_check_in_of_the_former_start_changes_nothing(self):
-        self.book.take(make(1000, sequence=40))
-        self.book.take(make(2000, sequence=1))
-        before = self.book.serial
-        self.assertFalse(self.book.take(make(1000, sequence=41)))
+    def test_late_check_in_of_the_former_incarnation_is_ignored(self):
+        self.table.take(make(1000, sequence=40))
+        self.table.take(make(2000, sequence=1))
+        before = self.table.serial
+        self.assertFalse(self.table.take(make(1000, sequence=41)))
         self.assertFalse(
-            self.book.take(make(1000, sequence=42, state="leaving"))
+            self.table.take(make(1000, sequence=42, state="leaving"))
         )
-        self.assertEqual(before, self.book.serial)
+        self.assertEqual(before, self.table.serial)
 
-    def test_start_before_the_one_that_is_known_is_a_former_one(self):
-        # The first check-in that arrives is the newer one's.
-        self.book.take(make(2000))
-        self.assertFalse(self.book.take(make(1000, sequence=40)))
+    def test_older_incarnation_that_arrives_second_is_ignored(self):
+        self.table.take(make(2000))
+        self.assertFalse(self.table.take(make(1000, sequence=40)))
         self.assertEqual({"e1@2000": "ready"}, self.states())
 
-    def test_it_may_come_back_after_its_end(self):
-        self.book.take(make(1000))
-        self.book.end("e1")
-        self.assertFalse(self.book.take(make(1000, sequence=2)))
-        self.assertTrue(self.book.take(make(2000)))
+    def test_endpoint_may_restart_after_its_end(self):
+        self.table.take(make(1000))
+        self.table.end("e1")
+        self.assertFalse(self.table.take(make(1000, sequence=2)))
+        self.assertTrue(self.table.take(make(2000)))
         self.assertEqual(
             {"e1@1000": "gone", "e1@2000": "ready"}, self.states()
         )
 
-    def test_end_of_the_former_start_leaves_the_new_one(self):
-        self.book.take(make(1000))
-        self.book.take(make(2000))
-        self.book.end("e1", 1000)
+    def test_end_of_the_former_incarnation_keeps_the_new_one(self):
+        self.table.take(make(1000))
+        self.table.take(make(2000))
+        self.table.end("e1", 1000)
         self.assertEqual("ready", self.states()["e1@2000"])
 
-    def test_start_without_a_time_is_none_of_one_that_tells_it(self):
-        self.book.take(make(1000, sequence=3))
-        self.assertFalse(self.book.take(make(0, sequence=4)))
+    def test_incarnation_without_start_time_counts_as_older(self):
+        self.table.take(make(1000, sequence=3))
+        self.assertFalse(self.table.take(make(0, sequence=4)))
         self.assertEqual({"e1@1000": "ready"}, self.states())
 
-    def test_new_start_counts_from_any_number(self):
-        # Its first check-in was lost; the fifth is the first that is heard,
-        # and the former start had said less.
-        self.book.take(make(1000, sequence=2))
-        self.assertTrue(self.book.take(make(2000, sequence=5)))
+    def test_new_incarnation_may_begin_at_any_sequence(self):
+        # Its first check-ins were lost, and its sequence is above that of the
+        # former incarnation.
+        self.table.take(make(1000, sequence=2))
+        self.assertTrue(self.table.take(make(2000, sequence=5)))
         self.assertEqual("ready", self.states()["e1@2000"])
 
     @settings(max_examples=200, deadline=None)
     @given(strategies.randoms(use_true_random=False))
     def test_every_order_of_arrival_ends_with_the_newest(self, rng):
-        # Three starts, of which the last leaves; their check-ins arrive in
-        # any order, some twice.
-        said = [
+        # Three incarnations, the last of which drains; their check-ins arrive
+        # in any order, some of them twice.
+        check_ins = [
             make(born, sequence=sequence)
             for born in (1000, 2000, 3000)
             for sequence in range(1, 4)
         ]
-        said.append(make(3000, sequence=4, state="leaving"))
-        arriving = said + rng.sample(said, 5)
+        check_ins.append(make(3000, sequence=4, state="leaving"))
+        arriving = check_ins + rng.sample(check_ins, 5)
         rng.shuffle(arriving)
         for registration in arriving:
-            self.book.take(registration)
+            self.table.take(registration)
         states = self.states()
         self.assertEqual("leaving", states.pop("e1@3000"))
         self.assertLessEqual(set(states.values()), {"gone"})
@@ -116,27 +115,26 @@
 
 
 class RestartFollowingTest(unittest.TestCase):
-    """What entries make of starts told by several control VMs."""
+    """Incarnations that entries receive from several control VMs."""
 
     def setUp(self):
         logger.disable("burdockdrum")
         self.addCleanup(logger.enable, "burdockdrum")
 
-    def test_new_start_told_by_another_control_vm(self):
-        # The former start checked in at a, which still takes it for ready;
-        # the new one checks in at b. Entries drop the former start and all
-        # that they knew of it at once, and are told which one that is.
+    def test_new_incarnation_at_another_control_vm(self):
+        # The former incarnation is still ready at a; the new one checks in
+        # at b. Entries must drop the former one and notify listeners of it.
         async def check(world):
-            world.books["a"].take(make(1000, sequence=40))
+            world.tables["a"].take(make(1000, sequence=40))
             await asyncio.sleep(0.5)
             ended = []
             follower = world.followers["x"]
             follower.restart_listeners.append(ended.append)
-            world.books["b"].take(make(2000))
+            world.tables["b"].take(make(2000))
             await asyncio.sleep(0.2)
             self.assertEqual({"e1@2000"}, set(follower.endpoints_by_id))
             self.assertEqual(["e1@1000"], ended)
-            world.books["a"].take(make(1000, sequence=41))
+            world.tables["a"].take(make(1000, sequence=41))
             await asyncio.sleep(1.0)
             self.assertEqual({"e1@2000"}, set(follower.endpoints_by_id))
             endpoint = follower.endpoints_by_id["e1@2000"]
@@ -144,13 +142,13 @@
 
         play(check)
 
-    def test_end_said_where_no_start_is_known(self):
-        # Its end is said at b, which never heard of it, without saying
-        # which start it is. A later start is another one and takes work.
+    def test_end_reported_where_no_incarnation_is_known(self):
+        # The end is reported at b, which does not know the endpoint, without
+        # an incarnation. It must not apply to later incarnations.
         async def check(world):
-            world.books["a"].take(make(1000))
+            world.tables["a"].take(make(1000))
             await asyncio.sleep(0.5)
-            world.books["b"].end("e1")
+            world.tables["b"].end("e1")
             await asyncio.sleep(0.2)
             follower = world.followers["x"]
             self.assertEqual({}, follower.endpoints_by_id)
@@ -159,7 +157,7 @@
             await asyncio.sleep(1)
             follower = world.followers["x"]
             self.assertEqual({}, follower.endpoints_by_id)
-            world.books["a"].take(make(2000))
+            world.tables["a"].take(make(2000))
             await asyncio.sleep(0.5)
             self.assertEqual({"e1@2000"}, set(follower.endpoints_by_id))
 
--- a/tests/registrations/test_store.py
+++ b/tests/registrations/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of endpoints that are known again after a loss of all power."""
+"""Tests of restoring registrations after a power failure."""
 
 import asyncio
 import random
@@ -6,13 +6,13 @@
 
 from loguru import logger
 
+from burdockdrum.registrations.book import CHECK_IN_TIMEOUT_SECONDS
 from burdockdrum.registrations.book import RegistrationBook
-from burdockdrum.registrations.book import SILENT_SECONDS
 from burdockdrum.registrations.messages import Registration
 from burdockdrum.registrations.messages import RegistrationState
 from burdockdrum.registrations.store import MAX_AGE_SECONDS
 from burdockdrum.registrations.store import RegistrationStore
-from burdockdrum.registrations.store import WRITE_SECONDS
+from burdockdrum.registrations.store import WRITE_INTERVAL_SECONDS
 from burdockdrum.testing import FakeDisk
 from burdockdrum.testing import run_virtual
 from burdockdrum.testing import VirtualClock
@@ -32,28 +32,28 @@
 
 
 class ControlVm:
-    """One start of a control VM's book and its file."""
+    """One run of a control VM with its table and store."""
 
     def __init__(self, disk):
-        """Start over a disk."""
-        self.book = RegistrationBook(clock=VirtualClock())
+        """Start with the content of a disk."""
+        self.table = RegistrationBook(clock=VirtualClock())
         self.store = RegistrationStore(
-            clock=VirtualClock(), disk=disk, book=self.book
+            clock=VirtualClock(), disk=disk, table=self.table
         )
         self.task = asyncio.create_task(self.store.run())
 
     async def stop(self):
-        """Lose the power."""
+        """Stop at once."""
         self.task.cancel()
         await asyncio.wait({self.task})
 
     def live(self):
-        """Return the ids of endpoints that take work."""
-        return sorted(r.endpoint_id for r in self.book.live())
+        """Return the ids of endpoints that accept requests."""
+        return sorted(r.endpoint_id for r in self.table.live())
 
 
 class StoreTest(unittest.TestCase):
-    """Before and after a loss of power."""
+    """The registrations before and after a power failure."""
 
     def setUp(self):
         logger.disable("burdockdrum")
@@ -61,10 +61,10 @@
         self.disk = FakeDisk(rng=random.Random(1))
 
     def play(self, before, after, down_seconds=1.5):
-        """Run a VM, lose the power, and look at its next start.
+        """Run a VM, cut its power, and run it again.
 
-        :param before: is given the first start
-        :param after: is given the next one
+        :param before: called with the VM before the power failure
+        :param after: called with the VM after the power failure
         """
 
         async def main():
@@ -80,100 +80,101 @@
 
         run_virtual(main())
 
-    def test_all_endpoints_are_known_at_once_after_a_loss_of_power(self):
-        # Callers come back with the entries. Were each endpoint only known
-        # once it has checked in again, the first ones would get them all.
+    def test_all_endpoints_are_known_at_once_after_a_power_failure(self):
+        # Otherwise the first endpoints to check in again would receive all
+        # requests.
         async def before(vm):
             for number in range(10):
-                vm.book.take(make_registration(f"e{number}"))
-            await asyncio.sleep(WRITE_SECONDS * 2)
+                vm.table.take(make_registration(f"e{number}"))
+            await asyncio.sleep(WRITE_INTERVAL_SECONDS * 2)
 
         async def after(vm):
             self.assertEqual(10, len(vm.live()))
 
         self.play(before, after)
 
-    def test_endpoint_that_leaves_is_still_leaving(self):
-        # It said so, the power went, and it serves for some seconds more.
+    def test_draining_endpoint_is_restored_as_draining(self):
+        # Otherwise it would receive new requests until its next check-in.
         async def before(vm):
-            vm.book.take(make_registration("a"))
-            vm.book.take(
+            vm.table.take(make_registration("a"))
+            vm.table.take(
                 make_registration(
                     "a", sequence=2, state=RegistrationState.LEAVING
                 )
             )
-            vm.book.take(make_registration("b"))
-            await asyncio.sleep(WRITE_SECONDS * 2)
+            vm.table.take(make_registration("b"))
+            await asyncio.sleep(WRITE_INTERVAL_SECONDS * 2)
 
         async def after(vm):
             self.assertEqual(["b"], vm.live())
-            [known] = [r for r in vm.book.present() if r.endpoint_id == "a"]
+            [known] = [
+                r for r in vm.table.ready_or_draining() if r.endpoint_id == "a"
+            ]
             self.assertIs(RegistrationState.LEAVING, known.state)
 
         self.play(before, after)
 
     def test_endpoint_that_ended_is_not_restored(self):
         async def before(vm):
-            vm.book.take(make_registration("a"))
-            await asyncio.sleep(WRITE_SECONDS * 2)
-            vm.book.end("a")
-            await asyncio.sleep(WRITE_SECONDS * 2)
+            vm.table.take(make_registration("a"))
+            await asyncio.sleep(WRITE_INTERVAL_SECONDS * 2)
+            vm.table.end("a")
+            await asyncio.sleep(WRITE_INTERVAL_SECONDS * 2)
 
         async def after(vm):
             self.assertEqual([], vm.live())
 
         self.play(before, after)
 
-    def test_endpoint_lost_with_the_power_falls_silent(self):
-        # It never checks in again: entries use others after a while.
+    def test_restored_endpoint_times_out_without_a_check_in(self):
+        # The endpoint was lost in the same power failure.
         async def before(vm):
-            vm.book.take(make_registration("a"))
-            await asyncio.sleep(WRITE_SECONDS * 2)
+            vm.table.take(make_registration("a"))
+            await asyncio.sleep(WRITE_INTERVAL_SECONDS * 2)
 
         async def after(vm):
-            await asyncio.sleep(SILENT_SECONDS + 0.5)
-            vm.book.prune()
+            await asyncio.sleep(CHECK_IN_TIMEOUT_SECONDS + 0.5)
+            vm.table.prune()
             self.assertEqual([], vm.live())
 
         self.play(before, after)
 
-    def test_check_in_goes_before_what_is_read_back(self):
-        # The endpoint checks in, with other words, while the file is read.
+    def test_check_in_takes_precedence_over_the_restored_state(self):
+        # The endpoint checks in while the file is being read.
         async def before(vm):
-            vm.book.take(make_registration("a", slots=8, sequence=5))
-            await asyncio.sleep(WRITE_SECONDS * 2)
+            vm.table.take(make_registration("a", slots=8, sequence=5))
+            await asyncio.sleep(WRITE_INTERVAL_SECONDS * 2)
 
         async def main():
             vm = ControlVm(self.disk)
             await before(vm)
             await vm.stop()
             vm = ControlVm(self.disk)
-            vm.book.take(make_registration("a", slots=4, sequence=6))
+            vm.table.take(make_registration("a", slots=4, sequence=6))
             await asyncio.sleep(0.05)
-            [known] = vm.book.present()
+            [known] = vm.table.ready_or_draining()
             self.assertEqual(4, known.slots)
             await vm.stop()
 
         run_virtual(main())
 
-    def test_new_start_replaces_the_one_read_back(self):
-        # The endpoint lost its power as well and starts again under its id.
+    def test_new_incarnation_replaces_the_restored_one(self):
+        # The endpoint lost its power as well and restarts under the same id.
         async def before(vm):
-            vm.book.take(make_registration("a 1", name="a", born=1))
-            await asyncio.sleep(WRITE_SECONDS * 2)
+            vm.table.take(make_registration("a 1", name="a", born=1))
+            await asyncio.sleep(WRITE_INTERVAL_SECONDS * 2)
 
         async def after(vm):
-            vm.book.take(make_registration("a 2", name="a", born=2))
+            vm.table.take(make_registration("a 2", name="a", born=2))
             self.assertEqual(["a 2"], vm.live())
 
         self.play(before, after)
 
-    def test_what_is_old_or_damaged_is_left(self):
-        # A VM that was down for an hour, or whose file can't be read, starts
-        # as one that knows nothing.
+    def test_old_or_corrupt_file_is_ignored(self):
+        # The VM must start with an empty table instead of failing.
         async def before(vm):
-            vm.book.take(make_registration("a"))
-            await asyncio.sleep(WRITE_SECONDS * 2)
+            vm.table.take(make_registration("a"))
+            await asyncio.sleep(WRITE_INTERVAL_SECONDS * 2)
 
         async def after(vm):
             self.assertEqual([], vm.live())
@@ -183,16 +184,17 @@
         self.disk.corrupt("registrations", 0)
         self.play(lambda vm: asyncio.sleep(0), after, down_seconds=0.1)
 
-    def test_disk_that_fails_stops_nothing_else(self):
-        # The log decides what a failed disk means. Endpoints check in.
+    def test_check_ins_continue_after_a_disk_failure(self):
+        # The store ends without an error, as other services decide what a
+        # failed disk means.
         async def main():
             vm = ControlVm(self.disk)
             self.disk.fail_syncs = True
-            vm.book.take(make_registration("a"))
-            await asyncio.sleep(WRITE_SECONDS * 2)
+            vm.table.take(make_registration("a"))
+            await asyncio.sleep(WRITE_INTERVAL_SECONDS * 2)
             self.assertTrue(vm.task.done())
             self.assertIsNone(vm.task.exception())
-            vm.book.take(make_registration("b"))
+            vm.table.take(make_registration("b"))
             self.assertEqual(["a", "b"], vm.live())
 
         run_virtual(main())
@@ -200,11 +202,11 @@
     def test_check_ins_without_news_write_nothing(self):
         async def main():
             vm = ControlVm(self.disk)
-            vm.book.take(make_registration("a"))
-            await asyncio.sleep(WRITE_SECONDS * 2)
+            vm.table.take(make_registration("a"))
+            await asyncio.sleep(WRITE_INTERVAL_SECONDS * 2)
             syncs = self.disk.syncs
             for number in range(2, 12):
-                vm.book.take(make_registration("a", sequence=number))
+                vm.table.take(make_registration("a", sequence=number))
                 await asyncio.sleep(1.2)
             self.assertEqual(syncs, self.disk.syncs)
             await vm.stop()
