--- a/burdockdrum/admission/admission.py
+++ b/burdockdrum/admission/admission.py
@@ -1,13 +1,17 @@
-"""Accept a request, or refuse it early and cheaply."""
+"""Admission control of requests.
+
+Requests that no endpoint has capacity for wait in a queue ordered by
+priority; those that would miss their deadline are refused early.
+"""
 
 import asyncio
 from dataclasses import dataclass
 import math
 
-from burdockdrum.admission.quotas import QuotaHold
-from burdockdrum.admission.quotas import QuotaLedger
+from burdockdrum.admission.quotas import QuotaEnforcer
+from burdockdrum.admission.quotas import QuotaReservation
 from burdockdrum.admission.waiting import Waiter
-from burdockdrum.admission.waiting import WaitingLine
+from burdockdrum.admission.waiting import WaitQueue
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.ports import Clock
 from burdockdrum.routing import Demand
@@ -18,58 +22,58 @@
 from burdockdrum.verdicts import RefusalCode
 from burdockdrum.verdicts import Verdict
 
-# How often waiters are looked at when no attempt ends: summaries of other
-# data centres and reports of endpoints come without a call.
-TICK_SECONDS = 0.1
-# Waiters looked at for a start in one go; those behind wait for the next.
-MAX_TRIES = 8
+# How often queues are processed if no attempt ends: capacity also appears in
+# summaries of other data centres and reports of endpoints.
+RECHECK_INTERVAL_SECONDS = 0.1
+# Limits the cost of one pass over a queue.
+MAX_START_CANDIDATES = 8
 MIN_RETRY_AFTER_SECONDS = 1.0
-# How much longer the line of another entry VM must be to be let ahead.
-YIELD_FACTOR = 1.3
-YIELD_SECONDS = 1.0
-_WEIGHT = 0.05
+# Another entry VM gets the next slot if its wait exceeds this VM's wait by
+# this factor plus the margin.
+YIELD_WAIT_FACTOR = 1.3
+YIELD_WAIT_MARGIN_SECONDS = 1.0
+_MEAN_WEIGHT = 0.05
 
 
 class Permit:
-    """A request that was accepted; released exactly once at its end."""
+    """Permission for a request to run; released when it ends."""
 
     def __init__(
         self,
         *,
         admission: "Admission",
-        hold: QuotaHold | None = None,
+        reservation: QuotaReservation | None = None,
     ) -> None:
         """Create a permit."""
         self._admission = admission
-        self._hold = hold
+        self._reservation = reservation
         self._released = False
 
     def release(self, *, completed: bool, tokens: int = 0) -> None:
-        """Give the permit back; later calls change nothing."""
+        """Release the permit; later calls have no effect."""
         if self._released:
             return
         self._released = True
-        self._admission.give_back(self._hold, tokens)
+        self._admission.give_back(self._reservation, tokens)
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Drain:
-    """How fast a line empties: mean run in seconds, runs at once."""
+class _DrainRate:
+    """How fast a queue drains: mean run time, and concurrent requests."""
 
-    mean: float
+    mean_seconds: float
     capacity: float
 
     def seconds(self, ahead: float) -> float:
-        """Return when so many slot seconds ahead will have started."""
-        return (self.mean + ahead) / self.capacity
+        """Return the wait behind the given slot seconds of other requests."""
+        return (self.mean_seconds + ahead) / self.capacity
 
 
 class Admission:
-    """Decide which requests may start, and in which order.
+    """Decides which requests may start, and in which order.
 
-    Where no endpoint has room, requests wait here and not in the engines'
-    queues: here the order can still be changed and the wait ended by a
-    refusal that is truthfully "not run".
+    Requests wait here rather than in the queues of the endpoints, so that
+    they can still be reordered, or refused as "not run".
     """
 
     def __init__(
@@ -79,131 +83,139 @@
         configuration: ConfigurationService | None,
         router: Router,
         policy: PolicySettings | None = None,
-        quotas: QuotaLedger | None = None,
+        quotas: QuotaEnforcer | None = None,
     ) -> None:
-        """Create an admission without load."""
+        """Create an admission control without requests."""
         self._quotas = quotas
         self._clock = clock
         self._configuration = configuration
         self._router = router
         self._policy = policy or PolicySettings()
-        self._lines_by_service: dict[str, WaitingLine] = {}
+        self._queues_by_service: dict[str, WaitQueue] = {}
         self._mean_seconds_by_worth: dict[float, float] = {}
-        self._filled = asyncio.Event()
+        self._has_waiters = asyncio.Event()
         self.running = 0
-        router.read_wait = self.expect_wait
-        router.add_listener(self._reconsider)
+        router.read_wait = self.estimate_wait
+        router.add_listener(self._process_queue)
 
     async def admit(self, client_id: str, demand: Demand) -> Permit:
-        """Wait, within bounds, until a request may start.
+        """Wait until a request may start.
 
-        A request that another data centre passed on was counted against
-        its quotas there.
+        A request forwarded by another data centre was charged to its quotas
+        there.
 
-        :raises Refusal: with the verdict "not run" and when to come back
+        :raises Refusal: with the verdict "not run" and a time to retry after
         """
-        hold = None
+        reservation = None
         if self._quotas is not None and not demand.hops:
-            hold = await self._quotas.take(client_id, demand)
+            reservation = await self._quotas.acquire(client_id, demand)
         try:
-            await self._wait_for_room(self._team_of(client_id), demand)
+            await self._wait_for_capacity(self._team_of(client_id), demand)
         except BaseException:
-            if hold is not None:
-                hold.release(tokens=0)
+            if reservation is not None:
+                reservation.release(tokens=0)
             raise
         self.running += 1
-        return Permit(admission=self, hold=hold)
+        return Permit(admission=self, reservation=reservation)
 
     async def wait_again(self, client_id: str, demand: Demand) -> None:
-        """Wait for another turn: what was chosen had no room after all.
+        """Wait again after the chosen endpoint had no free capacity.
 
-        The request keeps its permit, and is not counted twice.
+        The request keeps its permit, and is not charged again.
 
-        :raises Refusal: with the verdict "not run" and when to come back
+        :raises Refusal: with the verdict "not run" and a time to retry after
         """
-        await self._wait_for_room(self._team_of(client_id), demand)
+        await self._wait_for_capacity(self._team_of(client_id), demand)
 
-    def give_back(self, hold: QuotaHold | None, tokens: int) -> None:
-        """Give back what a permit held."""
+    def give_back(
+        self, reservation: QuotaReservation | None, tokens: int
+    ) -> None:
+        """Release the quota that a permit holds."""
         self.running -= 1
-        if hold is not None:
-            hold.release(tokens=tokens)
+        if reservation is not None:
+            reservation.release(tokens=tokens)
 
     async def run(self) -> None:
-        """Look at the waiters from time to time until cancelled."""
+        """Process the queues periodically until cancelled."""
         while True:
-            await self._filled.wait()
-            await self._clock.sleep(TICK_SECONDS)
-            for service in list(self._lines_by_service):
-                self._reconsider(service)
-            if not any(self._lines_by_service.values()):
-                self._filled.clear()
+            await self._has_waiters.wait()
+            await self._clock.sleep(RECHECK_INTERVAL_SECONDS)
+            for service in list(self._queues_by_service):
+                self._process_queue(service)
+            if not any(self._queues_by_service.values()):
+                self._has_waiters.clear()
 
     def queue_seconds(self, service: str) -> float:
-        """Return how long a request of middling rank would wait."""
-        line = self._lines_by_service.get(service) or ()
-        if not line and self._router.room(service) >= 1:
+        """Return the estimated wait of a request of median priority."""
+        queue = self._queues_by_service.get(service) or ()
+        if not queue and self._router.room(service) >= 1:
             return 0.0
-        ahead = sum(waiter.slot_seconds for waiter in line) / 2
-        return self._read_drain(service).seconds(ahead)
+        ahead = sum(waiter.slot_seconds for waiter in queue) / 2
+        return self._read_drain_rate(service).seconds(ahead)
 
-    def expect_wait(self, demand: Demand) -> float:
-        """Return how long a request would wait for its turn here."""
-        line = self._lines_by_service.get(demand.service)
-        if not line:
+    def estimate_wait(self, demand: Demand) -> float:
+        """Return the estimated wait of a request in this VM's queue."""
+        queue = self._queues_by_service.get(demand.service)
+        if not queue:
             return 0.0
-        key = self._key(demand, math.inf)
-        ahead = line.seconds_ahead(key)
-        return self._read_drain(demand.service).seconds(ahead)
+        key = self._queue_key(demand, math.inf)
+        ahead = queue.seconds_ahead(key)
+        return self._read_drain_rate(demand.service).seconds(ahead)
 
-    async def _wait_for_room(self, team: str, demand: Demand) -> None:
+    async def _wait_for_capacity(self, team: str, demand: Demand) -> None:
         estimate = self._router.estimate(demand)
         if estimate is None:
-            # The router says why there is none.
+            # No endpoint can serve it; the router reports the reason.
             return
         self._check_deadline(demand, estimate)
-        line = self._lines_by_service.setdefault(demand.service, WaitingLine())
-        self._learn_seconds(demand, estimate.run)
-        turn = line.take_turn(team, demand.rank, estimate.run)
-        key = self._key(demand, turn)
-        if not line.seconds_ahead(key) and self._can_start(demand):
+        queue = self._queues_by_service.setdefault(demand.service, WaitQueue())
+        self._update_mean_seconds(demand, estimate.run)
+        start_tag = queue.assign_start_tag(team, demand.rank, estimate.run)
+        key = self._queue_key(demand, start_tag)
+        if not queue.seconds_ahead(key) and self._can_start(demand):
             return
         if demand.hops and not demand.displaced:
-            # A spilled request never waits here: its own entry has a line,
-            # and knows better where else there is room.
-            raise _refuse(RefusalCode.OVERLOADED, "no room for others", 1.0)
+            # Forwarded requests wait only at the entry that forwarded them,
+            # which can choose another data centre.
+            raise _make_refusal(
+                RefusalCode.OVERLOADED,
+                "no free capacity for forwarded requests",
+                1.0,
+            )
         waiter = Waiter(
             demand=demand,
             key=key,
-            turn_tag=turn,
+            start_tag=start_tag,
             slot_seconds=estimate.run,
             since=self._clock.monotonic(),
         )
-        line.add(waiter)
-        self._filled.set()
+        queue.add(waiter)
+        self._has_waiters.set()
         try:
-            self._shed(line, self._read_drain(demand.service))
-            await waiter.turn
+            self._shed(queue, self._read_drain_rate(demand.service))
+            await waiter.started
         finally:
-            line.remove(waiter)
-        # Others are looked at once this one has begun and counts as load.
-        asyncio.get_running_loop().call_soon(self._reconsider, demand.service)
+            queue.remove(waiter)
+        # Runs after this request has started and counts as load.
+        asyncio.get_running_loop().call_soon(
+            self._process_queue, demand.service
+        )
 
     def _can_start(self, demand: Demand) -> bool:
-        # The drain looks at all endpoints: it is read only where there is
-        # no room here, and waiting is weighed against going elsewhere.
+        # Reading the drain rate visits all endpoints, so it is done only if
+        # the request can't start at once.
         if self._router.can_start(demand):
             return True
-        wait = self._read_drain(demand.service).seconds(0.0)
+        wait = self._read_drain_rate(demand.service).seconds(0.0)
         return self._router.can_start(demand, wait=wait)
 
     def _check_deadline(self, demand: Demand, estimate: Estimate) -> None:
         left = demand.deadline - self._clock.monotonic()
         if estimate.run > left:
-            raise _refuse(
+            raise _make_refusal(
                 RefusalCode.DEADLINE,
-                f"an answer takes about {estimate.run:.1f} s, and "
-                f"{max(0.0, left):.1f} s are left",
+                f"the estimated run time is {estimate.run:.1f} s, but the "
+                f"deadline is in {max(0.0, left):.1f} s",
                 MIN_RETRY_AFTER_SECONDS,
             )
 
@@ -213,109 +225,118 @@
         client = self._configuration.current.clients_by_id.get(client_id)
         return client.team or client_id if client else client_id
 
-    def _key(self, demand: Demand, turn: float) -> tuple[float, ...]:
-        """Return the place of a request in its line.
+    def _queue_key(
+        self, demand: Demand, start_tag: float
+    ) -> tuple[float, ...]:
+        """Return the sort key of a request in its queue.
 
-        :param turn: its fair turn among the teams of its rank
+        :param start_tag: its fair-queueing tag among the teams of its rank
 
-        Worth counts a second of a class's mean run and not of the request
-        itself: otherwise the long requests of the best class are overtaken
-        by the shortest of the others and miss their deadlines.
+        Worth is divided by the mean run time of the request's class, not by
+        its own: otherwise short requests of low worth overtake long ones of
+        high worth, which then miss their deadlines.
         """
         if self._policy.prefer == "worth":
             mean = self._mean_seconds_by_worth.get(demand.worth, 1.0)
-            return (-demand.worth / mean, len(demand.hops), turn)
-        return (demand.rank, len(demand.hops), turn)
+            return (-demand.worth / mean, len(demand.hops), start_tag)
+        return (demand.rank, len(demand.hops), start_tag)
 
-    def _learn_seconds(self, demand: Demand, seconds: float) -> None:
+    def _update_mean_seconds(self, demand: Demand, seconds: float) -> None:
         means = self._mean_seconds_by_worth
         mean = means.get(demand.worth, seconds)
-        means[demand.worth] = max(0.01, mean + _WEIGHT * (seconds - mean))
+        means[demand.worth] = max(0.01, mean + _MEAN_WEIGHT * (seconds - mean))
 
-    def _reconsider(self, service: str) -> None:
-        """Start the first waiter that can, and shed those that can't."""
-        line = self._lines_by_service.get(service)
-        if not line:
+    def _process_queue(self, service: str) -> None:
+        """Start the first waiter that can, and shed late waiters."""
+        queue = self._queues_by_service.get(service)
+        if not queue:
             return
-        drain = self._read_drain(service)
+        drain = self._read_drain_rate(service)
         if not self._should_yield(service):
-            self._start_one(line, drain)
-        self._shed(line, drain)
+            self._start_one(queue, drain)
+        self._shed(queue, drain)
 
-    def _start_one(self, line: WaitingLine, drain: _Drain) -> None:
+    def _start_one(self, queue: WaitQueue, drain: _DrainRate) -> None:
         ahead = 0.0
-        for tries, waiter in enumerate(line):
-            if tries >= MAX_TRIES:
+        for index, waiter in enumerate(queue):
+            if index >= MAX_START_CANDIDATES:
                 return
             wait = drain.seconds(ahead)
             ahead += waiter.slot_seconds
             if self._router.can_start(waiter.demand, wait=wait):
-                line.remove(waiter)
-                line.note_started(waiter)
+                queue.remove(waiter)
+                queue.advance_virtual_time(waiter)
                 waiter.admit()
                 return
 
     def _should_yield(self, service: str) -> bool:
-        """Say whether another entry VM here should have the next slot.
+        """Return whether another entry VM here should get the next slot.
 
-        The VM whose request ends sees the free slot first, others only in
-        the next report. Without this the VM that once has most slots keeps
-        them, while better requests wait in vain at the other.
+        The VM whose request ends sees the free slot before the others do.
+        Without yielding, a VM that holds most slots would keep them and
+        starve the queues of the others.
         """
         share = self._router.share(service)
-        mine = self.queue_seconds(service)
-        behind = share.peers_wait > mine * YIELD_FACTOR + YIELD_SECONDS
-        return behind and share.own > share.equal_part
+        own_wait = self.queue_seconds(service)
+        others_wait_longer = (
+            share.peers_wait
+            > own_wait * YIELD_WAIT_FACTOR + YIELD_WAIT_MARGIN_SECONDS
+        )
+        return others_wait_longer and share.own > share.equal_part
 
-    def _shed(self, line: WaitingLine, drain: _Drain) -> None:
-        """Refuse the waiters that would wait too long, at once.
+    def _shed(self, queue: WaitQueue, drain: _DrainRate) -> None:
+        """Refuse the waiters whose estimated wait is too long.
 
-        Those who come later in the order wait for all before them, so the
-        lowest class is shed first.
+        The wait grows along the queue, so the lowest priorities are shed
+        first.
         """
         now = self._clock.monotonic()
         ahead = 0.0
-        for waiter in line:
+        for waiter in queue:
             wait = drain.seconds(ahead)
             ahead += waiter.slot_seconds
             finish = now + wait + waiter.slot_seconds
             if finish > waiter.demand.deadline:
                 ahead -= waiter.slot_seconds
-                self._refuse_waiter(line, waiter, RefusalCode.DEADLINE, wait)
+                self._refuse_waiter(queue, waiter, RefusalCode.DEADLINE, wait)
             elif now + wait - waiter.since > self._max_wait(drain, waiter):
                 ahead -= waiter.slot_seconds
-                self._refuse_waiter(line, waiter, RefusalCode.OVERLOADED, wait)
+                self._refuse_waiter(
+                    queue, waiter, RefusalCode.OVERLOADED, wait
+                )
 
     def _refuse_waiter(
         self,
-        line: WaitingLine,
+        queue: WaitQueue,
         waiter: Waiter,
         code: RefusalCode,
         wait: float,
     ) -> None:
-        line.remove(waiter)
-        message = f"the wait would be about {wait:.1f} s"
-        waiter.refuse(_refuse(code, message, wait))
+        queue.remove(waiter)
+        message = f"the estimated wait is {wait:.1f} s"
+        waiter.refuse(_make_refusal(code, message, wait))
 
-    def _max_wait(self, drain: _Drain, waiter: Waiter) -> float:
+    def _max_wait(self, drain: _DrainRate, waiter: Waiter) -> float:
         if self._policy.prefer == "worth":
-            # An answer is worth the same until its deadline.
+            # The worth of a response is constant until its deadline.
             return math.inf
         limit = self._policy.max_wait_seconds
         if waiter.since < self._clock.monotonic():
-            # The drain counts in whole slots, and time passes until the
-            # next one is free: that alone is no reason to give up.
-            limit += drain.mean / drain.capacity
+            # The estimate does not fall while a slot is in use. This allows
+            # for the time until the next slot is free.
+            limit += drain.mean_seconds / drain.capacity
         return limit
 
-    def _read_drain(self, service: str) -> _Drain:
-        return _Drain(
-            mean=self._router.mean_service_seconds(service),
+    def _read_drain_rate(self, service: str) -> _DrainRate:
+        return _DrainRate(
+            mean_seconds=self._router.mean_service_seconds(service),
             capacity=max(1.0, self._router.share(service).capacity),
         )
 
 
-def _refuse(code: RefusalCode, message: str, retry_after: float) -> Refusal:
+def _make_refusal(
+    code: RefusalCode, message: str, retry_after: float
+) -> Refusal:
     return Refusal(
         code=code,
         message=message,
--- a/burdockdrum/admission/quotas.py
+++ b/burdockdrum/admission/quotas.py
@@ -1,4 +1,8 @@
-"""Quotas of teams and clients over the entry VMs of a data centre."""
+"""Quotas of teams and clients, enforced by the entry VMs of a data centre.
+
+Each entry VM enforces its share of every quota without a round trip per
+request, and borrows from other entry VMs if its share is used up.
+"""
 
 from collections.abc import Iterator
 import dataclasses
@@ -6,10 +10,10 @@
 import math
 import random
 
-from burdockdrum.admission.messages import Borrow
-from burdockdrum.admission.messages import Lent
+from burdockdrum.admission.messages import BorrowReply
+from burdockdrum.admission.messages import BorrowRequest
 from burdockdrum.admission.messages import ReturnLoan
-from burdockdrum.admission.shares import BORROWED_SECONDS
+from burdockdrum.admission.shares import BORROWER_LOAN_SECONDS
 from burdockdrum.admission.shares import ConcurrentShare
 from burdockdrum.admission.shares import Loan
 from burdockdrum.admission.shares import LOAN_SECONDS
@@ -30,21 +34,21 @@
 
 BORROW_TIMEOUT_SECONDS = 0.15
 MAX_LENDERS = 3
-# After nobody lent, a team over its quota is refused without asking again.
-PAUSE_SECONDS = 0.5
-# A VM that was not heard of for so long no longer has a part. Until then it
-# may be cut off and serving: its part must not be used twice.
-FORGET_SECONDS = 600.0
-TEND_SECONDS = 0.5
-# Loans in use are renewed when so much of them is left.
-RENEW_SECONDS = 2.0
+# How long no loan is requested after no VM has lent anything.
+BORROW_BACKOFF_SECONDS = 0.5
+# A VM loses its share after being unreachable for so long. Until then it may
+# still be serving behind a network partition, and its share stays reserved.
+VM_EXPIRY_SECONDS = 600.0
+MAINTENANCE_INTERVAL_SECONDS = 0.5
+# A loan in use is renewed when less than this is left until its expiry.
+RENEWAL_MARGIN_SECONDS = 2.0
 
 AnyShare = RateShare | ConcurrentShare
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Claim:
-    """What a request takes of one limit."""
+class _Charge:
+    """What a request consumes of one limit."""
 
     subject: str
     resource: Resource
@@ -52,32 +56,32 @@
     amount: float
 
 
-class QuotaHold:
-    """What a request has taken; given back exactly once."""
+class QuotaReservation:
+    """The quota that a request holds; released at most once."""
 
-    def __init__(self, *, clock: Clock, claims: list[_Claim]) -> None:
-        """Take over what was taken."""
+    def __init__(self, *, clock: Clock, charges: list[_Charge]) -> None:
+        """Create a reservation of charges that were already made."""
         self._clock = clock
-        self._claims = claims
+        self._charges = charges
 
     def release(self, *, tokens: int) -> None:
-        """Give places back, and correct the guess of the tokens.
+        """Release concurrency, and correct the estimated number of tokens.
 
-        :param tokens: how many were generated, or 0 if nobody counted
+        :param tokens: how many were generated, or 0 if unknown
         """
         now = self._clock.monotonic()
-        claims, self._claims = self._claims, []
-        for claim in claims:
-            match claim.share:
+        charges, self._charges = self._charges, []
+        for charge in charges:
+            match charge.share:
                 case ConcurrentShare() as share:
                     share.in_use -= 1
                 case RateShare() as share:
-                    if claim.resource is Resource.TOKENS and tokens:
-                        share.take(tokens - claim.amount, now)
+                    if charge.resource is Resource.TOKENS and tokens:
+                        share.consume(tokens - charge.amount, now)
 
 
-class QuotaLedger:
-    """This VM's shares of all quotas, and loans between VMs."""
+class QuotaEnforcer:
+    """Enforces this VM's shares of all quotas, and manages loans."""
 
     def __init__(
         self,
@@ -88,56 +92,62 @@
         peers: Peers,
         vms: VmDirectory,
     ) -> None:
-        """Create a ledger without shares."""
+        """Create an enforcer without shares."""
         self._clock = clock
         self._rng = rng
         self._configuration = configuration
         self._peers = peers
         self._vms = vms
-        self._shares: dict[tuple[str, Resource], AnyShare] = {}
-        self._pauses: dict[tuple[str, Resource], float] = {}
-        self._seen_at_by_vm: dict[str, float] = {}
-        peers.register(Borrow, self._take_borrow)
-        peers.register(ReturnLoan, self._take_return)
-
-    async def take(self, client_id: str, demand: Demand) -> QuotaHold:
-        """Take a request's part of each limit on it.
-
-        :raises Refusal: with the limit's name and when to come back
+        self._share_by_key: dict[tuple[str, Resource], AnyShare] = {}
+        self._backoff_until_by_key: dict[tuple[str, Resource], float] = {}
+        self._last_seen_by_vm: dict[str, float] = {}
+        peers.register(BorrowRequest, self._handle_borrow)
+        peers.register(ReturnLoan, self._handle_return)
+
+    async def acquire(
+        self, client_id: str, demand: Demand
+    ) -> QuotaReservation:
+        """Charge a request to all limits on its client and team.
+
+        :raises Refusal: with the limit's name and a time to retry after
         """
-        claims = list(self._find_claims(client_id, demand))
-        for claim in claims:
-            if not claim.share.can_take(self._now()):
-                await self._borrow(claim)
-        # Others may have taken while this waited: look at all once more.
+        charges = list(self._find_charges(client_id, demand))
+        for charge in charges:
+            if not charge.share.can_acquire(self._now()):
+                await self._borrow(charge)
+        # Other requests may have been charged during the await.
         now = self._now()
-        for claim in claims:
-            if not claim.share.can_take(now):
-                raise self._refuse(claim, now)
-        for claim in claims:
-            match claim.share:
+        for charge in charges:
+            if not charge.share.can_acquire(now):
+                raise self._make_refusal(charge, now)
+        for charge in charges:
+            match charge.share:
                 case ConcurrentShare() as share:
                     share.in_use += 1
                 case RateShare() as share:
-                    share.take(claim.amount, now)
-        return QuotaHold(clock=self._clock, claims=claims)
+                    share.consume(charge.amount, now)
+        return QuotaReservation(clock=self._clock, charges=charges)
 
-    def _find_claims(self, client_id: str, demand: Demand) -> Iterator[_Claim]:
+    def _find_charges(
+        self, client_id: str, demand: Demand
+    ) -> Iterator[_Charge]:
         configuration = self._configuration.current
         client = configuration.clients_by_id.get(client_id)
         if client is None:
             return
-        yield from self._claims_of(f"client {client_id}", client.quota, demand)
+        yield from self._charges_for(
+            f"client {client_id}", client.quota, demand
+        )
         team = configuration.teams_by_name.get(client.team or "")
         if team is not None:
-            yield from self._claims_of(
+            yield from self._charges_for(
                 f"team {client.team}", team.quota, demand
             )
 
-    def _claims_of(
+    def _charges_for(
         self, subject: str, quota: Quota, demand: Demand
-    ) -> Iterator[_Claim]:
-        wanted = (
+    ) -> Iterator[_Charge]:
+        amounts = (
             (Resource.REQUESTS, quota.requests_per_second, 1.0),
             (Resource.CONCURRENT, quota.concurrent_requests, 1.0),
             (
@@ -146,79 +156,83 @@
                 float(demand.max_tokens),
             ),
         )
-        for resource, limit, amount in wanted:
+        for resource, limit, amount in amounts:
             if limit is not None:
-                yield _Claim(
+                yield _Charge(
                     subject=subject,
                     resource=resource,
-                    share=self._share(subject, resource, float(limit)),
+                    share=self._find_share(subject, resource, float(limit)),
                     amount=amount,
                 )
 
-    def _share(
+    def _find_share(
         self, subject: str, resource: Resource, limit: float
     ) -> AnyShare:
         key = (subject, resource)
-        share = self._shares.get(key)
+        share = self._share_by_key.get(key)
         if share is None:
             if resource is Resource.CONCURRENT:
                 share = ConcurrentShare()
             else:
                 share = RateShare(now=self._now())
-            self._shares[key] = share
-        share.set_base(limit, self._equal_part(resource, limit))
+            self._share_by_key[key] = share
+        share.set_base(limit, self._base_share(resource, limit))
         return share
 
-    def _equal_part(self, resource: Resource, limit: float) -> float:
-        """Return this VM's part: the parts of all add up to the limit."""
+    def _base_share(self, resource: Resource, limit: float) -> float:
+        """Return this VM's equal part; the parts add up to the limit."""
         vm_ids = self._known_vms()
         if resource is not Resource.CONCURRENT:
             return limit / len(vm_ids)
         index = vm_ids.index(self._vms.identity.vm_id)
-        whole, rest = divmod(int(limit), len(vm_ids))
-        return float(whole + (index < rest))
+        quotient, remainder = divmod(int(limit), len(vm_ids))
+        return float(quotient + (index < remainder))
 
     def _known_vms(self) -> list[str]:
-        """Return the ids of the VMs here that may be serving, sorted.
+        """Return the sorted ids of this data centre's VMs that may be serving.
 
-        One that fell silent keeps its part: it may be cut off and alive.
+        An unreachable VM keeps its share, as it may still be serving behind
+        a network partition.
         """
         now = self._now()
         identity = self._vms.identity
         for view in self._vms.live_vms():
             if view.identity.data_centre == identity.data_centre:
-                self._seen_at_by_vm[view.identity.vm_id] = now
-        limit = now - FORGET_SECONDS
+                self._last_seen_by_vm[view.identity.vm_id] = now
+        oldest = now - VM_EXPIRY_SECONDS
         return sorted(
             vm_id
-            for vm_id, seen_at in self._seen_at_by_vm.items()
-            if seen_at >= limit
+            for vm_id, last_seen in self._last_seen_by_vm.items()
+            if last_seen >= oldest
         )
 
     async def run(self) -> None:
-        """Renew loans in use, return the others, and watch for VMs."""
+        """Renew loans in use and return unused ones until cancelled."""
         while True:
-            await self._clock.sleep(TEND_SECONDS)
-            # Parts depend on who was ever seen, also before the first use.
+            await self._clock.sleep(MAINTENANCE_INTERVAL_SECONDS)
+            # Shares depend on every VM seen so far, so VMs are recorded
+            # even before the first quota is used.
             self._known_vms()
-            for (subject, resource), share in list(self._shares.items()):
-                await self._tend(subject, resource, share)
+            for (subject, resource), share in list(self._share_by_key.items()):
+                await self._maintain_loans(subject, resource, share)
 
-    async def _tend(
+    async def _maintain_loans(
         self, subject: str, resource: Resource, share: AnyShare
     ) -> None:
         now = self._now()
         match share:
             case RateShare():
                 for loan in list(share.borrowed_by_id.values()):
-                    if loan.until <= now:
+                    if loan.expires_at <= now:
                         del share.borrowed_by_id[loan.loan_id]
             case ConcurrentShare():
                 for loan in list(share.borrowed_by_id.values()):
-                    due = loan.until - now < RENEW_SECONDS
+                    due = loan.expires_at - now < RENEWAL_MARGIN_SECONDS
                     if due and share.in_use > share.base:
-                        await self._ask(subject, resource, share, loan)
-                for loan in share.find_unused(self._now()):
+                        await self._request_loan(
+                            subject, resource, share, loan
+                        )
+                for loan in share.find_unused_loans(self._now()):
                     del share.borrowed_by_id[loan.loan_id]
                     self._peers.send(
                         loan.peer,
@@ -229,12 +243,12 @@
                         ),
                     )
 
-    async def _borrow(self, claim: _Claim) -> None:
-        """Ask other VMs here for a part of theirs, one after another."""
-        key = (claim.subject, claim.resource)
-        share = claim.share
-        share.short_at = self._now()
-        if self._pauses.get(key, -math.inf) > self._now():
+    async def _borrow(self, charge: _Charge) -> None:
+        """Request a loan from other VMs of the data centre, one by one."""
+        key = (charge.subject, charge.resource)
+        share = charge.share
+        share.last_short_at = self._now()
+        if self._backoff_until_by_key.get(key, -math.inf) > self._now():
             return
         own = self._vms.identity
         lenders = [
@@ -248,19 +262,21 @@
                 loan_id=f"{own.vm_id}-{self._rng.getrandbits(64):x}",
                 peer=address,
                 amount=max(1.0, share.base / 2),
-                until=self._now(),
+                expires_at=self._now(),
+            )
+            await self._request_loan(
+                charge.subject, charge.resource, share, loan
             )
-            await self._ask(claim.subject, claim.resource, share, loan)
-            if share.can_take(self._now()):
+            if share.can_acquire(self._now()):
                 return
-        self._pauses[key] = self._now() + PAUSE_SECONDS
+        self._backoff_until_by_key[key] = self._now() + BORROW_BACKOFF_SECONDS
 
-    async def _ask(
+    async def _request_loan(
         self, subject: str, resource: Resource, share: AnyShare, loan: Loan
     ) -> None:
-        """Ask for a loan, or for its renewal."""
-        asked_at = self._now()
-        message = Borrow(
+        """Request a loan, or its renewal."""
+        requested_at = self._now()
+        message = BorrowRequest(
             loan_id=loan.loan_id,
             subject=subject,
             resource=resource.value,
@@ -268,62 +284,65 @@
         )
         try:
             reply = await self._peers.call(
-                loan.peer, message, Lent, timeout=BORROW_TIMEOUT_SECONDS
+                loan.peer, message, BorrowReply, timeout=BORROW_TIMEOUT_SECONDS
             )
         except CallFailed:
             return
         if reply.amount > 0:
-            # Counted from the asking: the lender began to count later.
-            until = asked_at + min(BORROWED_SECONDS, reply.seconds)
+            # Measured from the request, so that the loan expires here before
+            # it does at the lender.
+            expires_at = requested_at + min(
+                BORROWER_LOAN_SECONDS, reply.seconds
+            )
             share.borrowed_by_id[loan.loan_id] = dataclasses.replace(
-                loan, amount=reply.amount, until=until
+                loan, amount=reply.amount, expires_at=expires_at
             )
 
-    async def _take_borrow(
-        self, sender: Sender, message: Borrow
+    async def _handle_borrow(
+        self, sender: Sender, message: BorrowRequest
     ) -> Message | None:
         resource = Resource(message.resource)
         limit = self._find_limit(message.subject, resource)
         if limit is None:
-            return Lent(amount=0.0, seconds=0.0)
-        share = self._share(message.subject, resource, limit)
+            return BorrowReply(amount=0.0, seconds=0.0)
+        share = self._find_share(message.subject, resource, limit)
         amount = share.lend(
             loan_id=message.loan_id,
             peer=sender.address,
             wanted=message.amount,
             now=self._now(),
         )
-        return Lent(amount=amount, seconds=LOAN_SECONDS)
+        return BorrowReply(amount=amount, seconds=LOAN_SECONDS)
 
-    async def _take_return(
+    async def _handle_return(
         self, sender: Sender, message: ReturnLoan
     ) -> Message | None:
         key = (message.subject, Resource(message.resource))
-        share = self._shares.get(key)
+        share = self._share_by_key.get(key)
         if share is not None:
             share.lent_by_id.pop(message.loan_id, None)
         return None
 
     def _find_limit(self, subject: str, resource: Resource) -> float | None:
         configuration = self._configuration.current
-        sort, _, name = subject.partition(" ")
-        if sort == "client":
-            holder = configuration.clients_by_id.get(name)
+        kind, _, name = subject.partition(" ")
+        if kind == "client":
+            owner = configuration.clients_by_id.get(name)
         else:
-            holder = configuration.teams_by_name.get(name)  # type: ignore
-        if holder is None:
+            owner = configuration.teams_by_name.get(name)  # type: ignore
+        if owner is None:
             return None
-        limit: float | None = getattr(holder.quota, resource.value)
+        limit: float | None = getattr(owner.quota, resource.value)
         return limit
 
-    def _refuse(self, claim: _Claim, now: float) -> Refusal:
+    def _make_refusal(self, charge: _Charge, now: float) -> Refusal:
         retry_after = 1.0
-        if isinstance(claim.share, RateShare):
-            retry_after = max(0.1, claim.share.seconds_until(now))
+        if isinstance(charge.share, RateShare):
+            retry_after = max(0.1, charge.share.seconds_until(now))
         return Refusal(
             code=RefusalCode.QUOTA,
-            message=f"{claim.subject} is at its quota: "
-            f"{claim.resource.value} {claim.share.limit:g}",
+            message=f"quota of {charge.subject} exceeded: "
+            f"{charge.resource.value} {charge.share.limit:g}",
             verdict=Verdict.NOT_RUN,
             retry_after=retry_after,
         )
--- a/burdockdrum/admission/services.py
+++ b/burdockdrum/admission/services.py
@@ -1,9 +1,9 @@
-"""Name the services of this package."""
+"""Registers the services of this package."""
 
 import random
 
 from burdockdrum.admission.admission import Admission
-from burdockdrum.admission.quotas import QuotaLedger
+from burdockdrum.admission.quotas import QuotaEnforcer
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.kernel import Kernel
 from burdockdrum.peers import Peers
@@ -15,13 +15,13 @@
 
 
 def add_services(kernel: Kernel) -> None:
-    """Name the admission and what it counts with."""
+    """Register the admission control and the quotas."""
     kernel.add("quotas", _build_quotas)
     kernel.add("admission", _build_admission)
 
 
-def _build_quotas(kernel: Kernel) -> QuotaLedger:
-    return QuotaLedger(
+def _build_quotas(kernel: Kernel) -> QuotaEnforcer:
+    return QuotaEnforcer(
         clock=kernel.find("clock", Clock),
         rng=kernel.find("random", random.Random),
         configuration=kernel.find("configuration", ConfigurationService),
@@ -37,7 +37,7 @@
         configuration=kernel.find("configuration", ConfigurationService),
         router=router,
         policy=kernel.find("settings", Settings).policy,
-        quotas=kernel.find("quotas", QuotaLedger),
+        quotas=kernel.find("quotas", QuotaEnforcer),
     )
     summaries = kernel.find("summaries", Summaries)
     summaries.read_room = router.room
--- a/burdockdrum/admission/shares.py
+++ b/burdockdrum/admission/shares.py
@@ -1,28 +1,28 @@
-"""One VM's share of one limit, with what is lent and borrowed.
+"""One VM's share of one limit, including loans from and to other VMs.
 
-A share is an equal part of the limit, plus what others have lent, less what
-is lent to others. A loan ends by itself, and the lender counts it for
-longer than the borrower, so that at no moment two VMs use the same part,
-whether they hear of each other or not.
+A share is an equal part of the limit, plus what is borrowed, less what is
+lent. Loans expire, and the lender counts a loan for longer than the
+borrower, so that two VMs never use the same part of a limit at the same
+time, even if they can't reach each other.
 """
 
 from dataclasses import dataclass
 import enum
 
 LOAN_SECONDS = 5.0
-# The borrower stops early: clocks drift, and the reply took time.
-BORROWED_SECONDS = 4.5
-# Requests that started under a loan outlive it. If the borrower can't say
-# when they have ended, the lender waits for the longest deadline there is.
-LONGEST_REQUEST_SECONDS = 600.0
-# What a rate may save up, in seconds of its share.
+# Shorter than the lender's term, to allow for clock drift and network delay.
+BORROWER_LOAN_SECONDS = 4.5
+# Requests that started under a loan may outlive it. Unless the borrower
+# returns the loan, the lender reuses it only after the longest deadline.
+MAX_REQUEST_SECONDS = 600.0
+# Capacity of a token bucket, in seconds of its rate.
 BURST_SECONDS = 1.0
-# A VM that was short itself so lately renews no loan.
-SHORT_SECONDS = 5.0
+# A VM that ran out of its own share this recently renews no loans.
+RECENT_SHORTAGE_SECONDS = 5.0
 
 
 class Resource(enum.Enum):
-    """What a limit is on."""
+    """The kind of a limit."""
 
     REQUESTS = "requests_per_second"
     CONCURRENT = "concurrent_requests"
@@ -31,52 +31,52 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Loan:
-    """A part of a share at another VM until a time on this VM's clock."""
+    """An amount lent or borrowed until a time of this VM's clock."""
 
     loan_id: str
     peer: str
     amount: float
-    until: float
+    expires_at: float
 
 
 class Share:
-    """The base of shares: an equal part and loans."""
+    """Base class of shares: an equal part of a limit, and loans."""
 
-    # How long after the loan's end its use may go on.
-    aftermath_seconds = 0.0
+    # How long requests may still use a loan after its expiry.
+    release_delay_seconds = 0.0
 
     def __init__(self) -> None:
-        """Create a share of nothing."""
+        """Create a share of size 0."""
         self.limit = 0.0
         self.base = 0.0
-        self.short_at = float("-inf")
+        self.last_short_at = float("-inf")
         self.borrowed_by_id: dict[str, Loan] = {}
         self.lent_by_id: dict[str, Loan] = {}
 
     def set_base(self, limit: float, base: float) -> None:
-        """Set the limit and the equal part of it."""
+        """Set the limit and this VM's equal part of it."""
         self.limit = limit
         self.base = base
 
     def size(self, now: float) -> float:
-        """Return what new requests may use now."""
+        """Return the part of the limit that this VM may use."""
         borrowed = sum(
             loan.amount
             for loan in self.borrowed_by_id.values()
-            if loan.until > now
+            if loan.expires_at > now
         )
         return max(0.0, self.base + borrowed - self._lent(now))
 
     def lend(
         self, *, loan_id: str, peer: str, wanted: float, now: float
     ) -> float:
-        """Give up to half of what lies idle, or renew a loan.
+        """Lend up to half of what is idle, or renew a loan.
 
         :returns: the amount lent
         """
         known = self.lent_by_id.get(loan_id)
         if known is not None:
-            if now - self.short_at < SHORT_SECONDS:
+            if now - self.last_short_at < RECENT_SHORTAGE_SECONDS:
                 return 0.0
             amount = known.amount
         else:
@@ -87,22 +87,22 @@
             loan_id=loan_id,
             peer=peer,
             amount=amount,
-            until=now + LOAN_SECONDS,
+            expires_at=now + LOAN_SECONDS,
         )
         return amount
 
     def idle(self, now: float) -> float:
-        """Return what may be lent."""
+        """Return the amount that may be lent."""
         raise NotImplementedError
 
     def _lent(self, now: float) -> float:
-        limit = now - self.aftermath_seconds
-        ended = [
+        expired_before = now - self.release_delay_seconds
+        expired = [
             loan.loan_id
             for loan in self.lent_by_id.values()
-            if loan.until <= limit
+            if loan.expires_at <= expired_before
         ]
-        for loan_id in ended:
+        for loan_id in expired:
             del self.lent_by_id[loan_id]
         return sum(loan.amount for loan in self.lent_by_id.values())
 
@@ -111,41 +111,41 @@
     """A token bucket whose rate is the share."""
 
     def __init__(self, *, now: float) -> None:
-        """Create a bucket that is filled at its first use."""
+        """Create a bucket that is full at its first use."""
         super().__init__()
         self._level: float | None = None
         self._updated_at = now
 
-    def can_take(self, now: float) -> bool:
-        """Say whether something is left.
+    def can_acquire(self, now: float) -> bool:
+        """Return whether at least one token is left.
 
-        A request may take more than is left: its cost is a guess until it
-        ends, and the debt is paid before the next.
+        A request may consume more than is left, as its cost is an estimate
+        until it ends; the level then becomes negative.
         """
-        return self._fill(now) >= 1
+        return self._refill(now) >= 1
 
-    def take(self, amount: float, now: float) -> None:
-        """Take an amount; a negative one gives back."""
-        self._level = self._fill(now) - amount
+    def consume(self, amount: float, now: float) -> None:
+        """Consume an amount; a negative one is refunded."""
+        self._level = self._refill(now) - amount
 
     def seconds_until(self, now: float) -> float:
-        """Return when a request may pass again."""
-        missing = max(0.0, 1 - self._fill(now))
+        """Return the seconds until a request may be admitted."""
+        missing = max(0.0, 1 - self._refill(now))
         return missing / max(1e-3, self.size(now))
 
     def idle(self, now: float) -> float:
-        """Return half of the rate if the bucket has been filling up."""
-        level = self._fill(now)
+        """Return half of the rate if the bucket is nearly full."""
+        level = self._refill(now)
         size = self.size(now)
         cap = max(1.0, size * BURST_SECONDS)
         return size / 2 if level >= cap * 0.75 else 0.0
 
-    def _fill(self, now: float) -> float:
+    def _refill(self, now: float) -> float:
         size = self.size(now)
         cap = max(1.0, size * BURST_SECONDS)
         level = cap if self._level is None else self._level
-        # A loan may have begun or ended since: the smaller of then and now
-        # would need its history, and the cap bounds the difference.
+        # Uses the current rate, although loans may have changed it since
+        # the last update; the cap bounds the error.
         level = min(cap, level + size * (now - self._updated_at))
         self._level = level
         self._updated_at = now
@@ -153,31 +153,31 @@
 
 
 class ConcurrentShare(Share):
-    """A number of requests in flight."""
+    """A limit on the number of requests in flight."""
 
-    aftermath_seconds = LONGEST_REQUEST_SECONDS
+    release_delay_seconds = MAX_REQUEST_SECONDS
 
     def __init__(self) -> None:
-        """Create a share without requests."""
+        """Create a share without requests in flight."""
         super().__init__()
         self.in_use = 0
 
-    def can_take(self, now: float) -> bool:
-        """Say whether one more may start."""
+    def can_acquire(self, now: float) -> bool:
+        """Return whether another request may start."""
         return self.in_use + 1 <= self.size(now)
 
     def idle(self, now: float) -> float:
-        """Return half of the free places, at least one of them."""
+        """Return half of the free capacity, rounded up."""
         free = int(self.size(now)) - self.in_use
         return float((free + 1) // 2) if free > 0 else 0.0
 
-    def find_unused(self, now: float) -> list[Loan]:
-        """Return the loans that no request in flight needs any more."""
+    def find_unused_loans(self, now: float) -> list[Loan]:
+        """Return expired loans that no request in flight needs."""
         unused = []
-        spare = self.base - self._lent(now) - self.in_use
-        spare += sum(loan.amount for loan in self.borrowed_by_id.values())
+        unneeded = self.base - self._lent(now) - self.in_use
+        unneeded += sum(loan.amount for loan in self.borrowed_by_id.values())
         for loan in list(self.borrowed_by_id.values()):
-            if loan.until <= now and spare >= loan.amount:
-                spare -= loan.amount
+            if loan.expires_at <= now and unneeded >= loan.amount:
+                unneeded -= loan.amount
                 unused.append(loan)
         return unused
--- a/tests/admission/__init__.py
+++ b/tests/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of quotas, lines and early refusals."""
+"""Tests of quotas, queues and early refusals."""
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -1,4 +1,4 @@
-"""Lines, early refusals and the order under overload."""
+"""Tests of queueing, early refusal and priorities under overload."""
 
 import asyncio
 import random
@@ -28,7 +28,7 @@
 
 
 class OneVm:
-    """An admission and a router before one endpoint of some slots."""
+    """An entry VM with one endpoint of a given number of slots."""
 
     def __init__(self, *, slots: int, **policy) -> None:
         clock = VirtualClock()
@@ -76,23 +76,23 @@
         ]
 
     async def call(self, client: str = "crew", *, seconds=60.0, **demand):
-        """Run one request; return what came of it and when."""
+        """Run a request; return its outcome and how long it took."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        wanted = Demand(
+        started_at = loop.time()
+        request = Demand(
             service="planner",
             regions=frozenset({"north"}),
-            deadline=began + seconds,
+            deadline=started_at + seconds,
             max_tokens=TOKENS,
             **demand,
         )
         try:
-            permit = await self.admission.admit(client, wanted)
+            permit = await self.admission.admit(client, request)
         except Refusal as refusal:
-            return refusal, loop.time() - began
-        choice = self.router.choose(wanted)
+            return refusal, loop.time() - started_at
+        choice = self.router.choose(request)
         assert isinstance(choice, ToEndpoint), choice
-        attempt = self.router.begin(choice.endpoint, wanted)
+        attempt = self.router.begin(choice.endpoint, request)
         self.running += 1
         await asyncio.sleep(0.02)
         attempt.note_first_token()
@@ -100,7 +100,7 @@
         self.running -= 1
         attempt.finish(AttemptOutcome.COMPLETED, tokens=TOKENS)
         permit.release(completed=True)
-        return "whole", loop.time() - began
+        return "whole", loop.time() - started_at
 
     async def _report(self) -> None:
         sequence = 0
@@ -127,14 +127,8 @@
 
         run_virtual(main())
 
-    def test_line_is_bounded_by_time_and_the_lowest_class_goes_first(self):
-        """Twenty requests of the low class come, then four of the high.
-
-        The endpoint runs two a second. More than the bounded wait can't
-        start: those are refused when that is known, not after the wait.
-        The high class goes before the low, which is shed for it; nothing
-        that was accepted is cut off.
-        """
+    def test_overload_sheds_the_lowest_priority_early(self):
+        """Requests that can't start in time are refused late, or at random."""
 
         async def main():
             vm = OneVm(slots=2, max_wait_seconds=3.0)
@@ -151,16 +145,13 @@
                 self.assertIs(RefusalCode.OVERLOADED, refusal.code)
                 self.assertIs(Verdict.NOT_RUN, refusal.verdict)
                 self.assertLess(after, 3.0)
-            at_once = [after for _, after in refused if after < 0.2]
-            self.assertGreater(len(at_once), 10)
+            immediate = [after for _, after in refused if after < 0.2]
+            self.assertGreater(len(immediate), 10)
 
         run_virtual(main())
 
-    def test_flood_of_one_team_waits_behind_its_own(self):
-        """Thirty requests of one team wait; one of another comes last.
-
-        It starts next, not after the thirty.
-        """
+    def test_flood_of_one_team_does_not_delay_another(self):
+        """A request waits behind all earlier requests of another team."""
 
         async def main():
             vm = OneVm(slots=2, max_wait_seconds=60.0)
@@ -175,30 +166,30 @@
 
         run_virtual(main())
 
-    def test_worth_goes_first_where_worth_is_preferred(self):
+    def test_policy_chooses_between_rank_and_worth(self):
         async def main(prefer):
             vm = OneVm(slots=1, prefer=prefer, max_wait_seconds=60.0)
             first = asyncio.create_task(vm.call())
             await asyncio.sleep(0.1)
             cheap = asyncio.create_task(vm.call(rank=0, worth=1.0))
-            dear = asyncio.create_task(vm.call(rank=1, worth=9.0))
-            ends = await asyncio.gather(first, cheap, dear)
+            valuable = asyncio.create_task(vm.call(rank=1, worth=9.0))
+            ends = await asyncio.gather(first, cheap, valuable)
             return ends[1][1], ends[2][1]
 
-        cheap, dear = run_virtual(main("tail"))
-        self.assertLess(cheap, dear)
-        cheap, dear = run_virtual(main("worth"))
-        self.assertLess(dear, cheap)
+        cheap, valuable = run_virtual(main("tail"))
+        self.assertLess(cheap, valuable)
+        cheap, valuable = run_virtual(main("worth"))
+        self.assertLess(valuable, cheap)
 
-    def test_waiting_request_that_is_cancelled_leaves_the_line(self):
+    def test_cancelled_request_leaves_the_queue(self):
         async def main():
             vm = OneVm(slots=1)
             first = asyncio.create_task(vm.call())
             await asyncio.sleep(0.1)
-            gone = asyncio.create_task(vm.call())
+            cancelled = asyncio.create_task(vm.call())
             await asyncio.sleep(0.1)
             self.assertGreater(vm.admission.queue_seconds("planner"), 1.0)
-            gone.cancel()
+            cancelled.cancel()
             self.assertEqual("whole", (await first)[0])
             self.assertEqual(0.0, vm.admission.queue_seconds("planner"))
             self.assertEqual(0, vm.admission.running)
--- a/tests/admission/test_quotas.py
+++ b/tests/admission/test_quotas.py
@@ -1,11 +1,11 @@
-"""Quotas that hold over the entry VMs of a data centre."""
+"""Tests of quotas over the entry VMs of a data centre."""
 
 import asyncio
 import random
 import types
 import unittest
 
-from burdockdrum.admission import QuotaLedger
+from burdockdrum.admission import QuotaEnforcer
 from burdockdrum.peers import Peers
 from burdockdrum.resources import ClientSpec
 from burdockdrum.resources import Configuration
@@ -77,8 +77,10 @@
 
     async def start(self, quota: Quota) -> None:
         self.cluster = FakeCluster(seed=1)
-        self.ledgers = {}
-        stub = types.SimpleNamespace(current=make_configuration(quota))
+        self.enforcers = {}
+        configuration_service = types.SimpleNamespace(
+            current=make_configuration(quota)
+        )
         for number, vm in enumerate(VMS, start=1):
             data = 'data_folder = "unused"' if vm == "a" else ""
             settings = read_settings(
@@ -91,23 +93,23 @@
                 )
             )
             kernel = (await self.cluster.start_vm(settings)).kernel
-            self.ledgers[vm] = QuotaLedger(
+            self.enforcers[vm] = QuotaEnforcer(
                 clock=VirtualClock(),
                 rng=random.Random(number),
-                configuration=stub,
+                configuration=configuration_service,
                 peers=kernel.find("peers", Peers),
                 vms=kernel.find("vms", VmDirectory),
             )
-        self.tending = [
-            asyncio.create_task(ledger.run())
-            for ledger in self.ledgers.values()
+        self.tasks = [
+            asyncio.create_task(enforcer.run())
+            for enforcer in self.enforcers.values()
         ]
         await asyncio.sleep(5)
 
-    async def take(self, vm: str, client: str = "flooding"):
-        """Return what was taken, or None after a refusal."""
+    async def acquire(self, vm: str, client: str = "flooding"):
+        """Return the reservation, or None if the request was refused."""
         try:
-            return await self.ledgers[vm].take(client, make_demand())
+            return await self.enforcers[vm].acquire(client, make_demand())
         except Refusal as refusal:
             self.assertIs(RefusalCode.QUOTA, refusal.code)
             self.assertIs(Verdict.NOT_RUN, refusal.verdict)
@@ -115,32 +117,31 @@
             return None
 
     async def flood(self, vms, rounds: int) -> dict[str, list]:
-        holds = {vm: [] for vm in vms}
+        reservations = {vm: [] for vm in vms}
         for _ in range(rounds):
             for vm in vms:
-                hold = await self.take(vm)
-                if hold is not None:
-                    holds[vm].append(hold)
+                reservation = await self.acquire(vm)
+                if reservation is not None:
+                    reservations[vm].append(reservation)
             await asyncio.sleep(0.6)
-        return holds
+        return reservations
 
-    def test_one_entry_borrows_what_lies_idle_at_the_others(self):
-        """A team's callers all use entry a, whose part is three of nine.
+    def test_entry_borrows_idle_quota_of_others(self):
+        """A team that uses one entry gets only that entry's share.
 
-        The others lend what is idle, so that the team gets most of its
-        quota and never more; what was given back can be taken again.
+        Neither may it get more than its quota, or lose what it released.
         """
 
         async def main():
             await self.start(Quota(concurrent_requests=9))
-            holds = (await self.flood(["a"], 12))["a"]
-            self.assertGreater(len(holds), 5)
-            self.assertLessEqual(len(holds), 9)
+            reservations = (await self.flood(["a"], 12))["a"]
+            self.assertGreater(len(reservations), 5)
+            self.assertLessEqual(len(reservations), 9)
             others = await self.flood(["b", "c"], 3)
-            total = len(holds) + sum(map(len, others.values()))
+            total = len(reservations) + sum(map(len, others.values()))
             self.assertLessEqual(total, 9)
-            for hold in holds:
-                hold.release(tokens=0)
+            for reservation in reservations:
+                reservation.release(tokens=0)
             await asyncio.sleep(10)
             counts = await self.flood(["b"], 12)
             self.assertGreater(len(counts["b"]), 3)
@@ -148,12 +149,10 @@
 
         run_virtual(main())
 
-    def test_entries_that_are_cut_off_keep_to_their_parts(self):
-        """The entries lose sight of each other while callers use them all.
+    def test_partitioned_entries_keep_to_their_shares(self):
+        """Entries take over the shares of unreachable ones that still serve.
 
-        Each falls back to its own part. None takes over the parts of those
-        that fell silent, which may be alive and serving: the sum stays
-        within the quota, for as long as the cut lasts.
+        They would exceed the quota together.
         """
 
         async def main():
@@ -162,77 +161,75 @@
                 others = [name for name in VMS if name != vm]
                 self.cluster.network.cut([vm], others)
             await asyncio.sleep(120)
-            holds = await self.flood(VMS, 8)
-            self.assertEqual([3, 3, 3], [len(holds[vm]) for vm in VMS])
+            reservations = await self.flood(VMS, 8)
+            self.assertEqual([3, 3, 3], [len(reservations[vm]) for vm in VMS])
             await self.cluster.stop()
 
         run_virtual(main())
 
-    def test_cut_after_a_loan_never_counts_it_twice(self):
-        """Entry a borrows, then is cut off, then the loan ends.
-
-        The lender takes its part back only after the borrower has stopped
-        using it: new requests in flight never pass the quota.
-        """
+    def test_loan_is_not_used_twice_after_a_partition(self):
+        """The lender reuses a loan that a partitioned borrower still uses."""
 
         async def main():
             await self.start(Quota(concurrent_requests=9))
-            holds = (await self.flood(["a"], 4))["a"]
+            reservations = (await self.flood(["a"], 4))["a"]
             self.cluster.network.cut(["a"], ["b", "c"])
-            for hold in holds:
-                hold.release(tokens=0)
+            for reservation in reservations:
+                reservation.release(tokens=0)
             for _ in range(20):
-                taken = await self.flood(VMS, 1)
+                acquired = await self.flood(VMS, 1)
                 for _ in range(8):
                     for vm in VMS:
-                        hold = await self.take(vm)
-                        if hold is not None:
-                            taken[vm].append(hold)
-                held = [hold for vm in VMS for hold in taken[vm]]
-                self.assertLessEqual(len(held), 9)
-                for hold in held:
-                    hold.release(tokens=0)
-            self.assertEqual(3, len(taken["a"]))
+                        reservation = await self.acquire(vm)
+                        if reservation is not None:
+                            acquired[vm].append(reservation)
+                in_flight = [
+                    reservation for vm in VMS for reservation in acquired[vm]
+                ]
+                self.assertLessEqual(len(in_flight), 9)
+                for reservation in in_flight:
+                    reservation.release(tokens=0)
+            self.assertEqual(3, len(acquired["a"]))
             await self.cluster.stop()
 
         run_virtual(main())
 
-    def test_rate_holds_over_all_entries(self):
-        """Callers ask for far more than the rate, at one entry or at all."""
+    def test_rate_limit_holds_over_all_entries(self):
+        """Demand beyond the rate, at one or all entries, exceeds the limit."""
 
         async def main(vms):
             await self.start(Quota(requests_per_second=30))
             loop = asyncio.get_running_loop()
-            taken = 0
-            began = loop.time()
-            while loop.time() < began + 20:
+            acquired = 0
+            started_at = loop.time()
+            while loop.time() < started_at + 20:
                 for vm in vms:
                     for _ in range(4):
-                        taken += await self.take(vm) is not None
+                        acquired += await self.acquire(vm) is not None
                 await asyncio.sleep(0.05)
-            seconds = loop.time() - began
+            seconds = loop.time() - started_at
             await self.cluster.stop()
-            return taken, seconds
+            return acquired, seconds
 
         for vms in (["a"], list(VMS)):
-            taken, seconds = run_virtual(main(vms))
-            # A second's worth may have been saved up at the start.
-            self.assertLessEqual(taken, 30 * (seconds + 1))
-            self.assertGreater(taken, 30 * seconds * 0.8)
+            acquired, seconds = run_virtual(main(vms))
+            # The token buckets start with one second's worth.
+            self.assertLessEqual(acquired, 30 * (seconds + 1))
+            self.assertGreater(acquired, 30 * seconds * 0.8)
 
-    def test_flood_of_one_team_leaves_the_quota_of_another(self):
+    def test_flood_of_one_team_does_not_use_the_quota_of_another(self):
         async def main():
             await self.start(Quota(concurrent_requests=9))
             await self.flood(VMS, 20)
-            self.assertIsNone(await self.take("a", "flooding"))
+            self.assertIsNone(await self.acquire("a", "flooding"))
             for vm in VMS:
                 for _ in range(3):
-                    self.assertIsNotNone(await self.take(vm, "quiet"))
+                    self.assertIsNotNone(await self.acquire(vm, "quiet"))
             await self.cluster.stop()
 
         run_virtual(main())
 
-    def test_tokens_that_were_not_generated_are_given_back(self):
+    def test_tokens_that_were_not_generated_are_refunded(self):
         async def main():
             await self.start(Quota(tokens_per_second=300))
             demand = Demand(
@@ -241,12 +238,12 @@
                 deadline=1e6,
                 max_tokens=1000,
             )
-            ledger = self.ledgers["a"]
-            hold = await ledger.take("quiet", demand)
+            enforcer = self.enforcers["a"]
+            reservation = await enforcer.acquire("quiet", demand)
             with self.assertRaises(Refusal):
-                await ledger.take("quiet", demand)
-            hold.release(tokens=10)
-            self.assertIsNotNone(await ledger.take("quiet", demand))
+                await enforcer.acquire("quiet", demand)
+            reservation.release(tokens=10)
+            self.assertIsNotNone(await enforcer.acquire("quiet", demand))
             await self.cluster.stop()
 
         run_virtual(main())
