--- a/burdockdrum/quotas/__init__.py
+++ b/burdockdrum/quotas/__init__.py
@@ -1,4 +1,4 @@
-"""Limits of teams that hold over all entries of all regions."""
+"""Rate limits of teams, enforced over the entries of all regions."""
 
 from burdockdrum.quotas.meter import QuotaMeter
 from burdockdrum.quotas.meter import Taken
--- a/burdockdrum/quotas/messages.py
+++ b/burdockdrum/quotas/messages.py
@@ -1,4 +1,6 @@
-"""What entries tell each other of the use that teams make of limits."""
+"""Messages by which entries report the usage of teams to each other."""
+
+from typing import ClassVar
 
 import msgspec
 
@@ -6,40 +8,43 @@
 
 
 class TeamUse(msgspec.Struct, frozen=True, array_like=True):
-    """What a team uses and asks for, a second, in the unit of its limit.
+    """A team's usage and demand per second, in the unit of its limit.
 
-    A keeper says as well what was ``drawn`` of the team's burst, and which
-    part of the limit belongs to data centres that are ``unheard``.
+    An aggregator also reports ``burst_used``, the used amount of the team's
+    burst, and ``reserved``, the fraction of the limit that is reserved for
+    unreachable data centres.
     """
 
     team: str
     used: float
-    asked: float
-    drawn: float = 0.0
-    unheard: float = 0.0
+    requested: float
+    burst_used: float = 0.0
+    reserved: float = 0.0
 
 
 class UseNotice(Message, frozen=True, kw_only=True, array_like=True):
-    """An entry tells the keeper of its data centre what began there."""
+    """An entry's own usage, sent to the aggregator of its data centre."""
 
     uses: list[TeamUse]
 
 
-class OthersUse(Message, frozen=True, kw_only=True, array_like=True):
-    """A keeper's answer: what began everywhere else."""
+class OthersUsage(Message, frozen=True, kw_only=True, array_like=True):
+    """The aggregator's reply: the usage of all other entries."""
+
+    wire_kind: ClassVar[str | None] = "quotas.OthersUse"
 
     uses: list[TeamUse]
 
 
 class DataCentreUse(Message, frozen=True, kw_only=True, array_like=True):
-    """What began in a data centre, for the keepers of the others.
+    """The usage of a data centre, sent to the aggregators of the others.
 
-    ``keeper`` is the address of the entry that adds up there.
-    ``passed_on`` says that another entry of the receiver's data centre has
-    sent it on, so that it is sent on once at most.
+    ``keeper`` is the address of the data centre's aggregator. ``forwarded``
+    is set by an entry that forwards the message to the aggregator of its
+    own data centre, so that it is forwarded at most once.
     """
 
     data_centre: str
     keeper: str
     uses: list[TeamUse]
-    passed_on: bool = False
+    forwarded: bool = False
--- a/burdockdrum/quotas/meter.py
+++ b/burdockdrum/quotas/meter.py
@@ -1,4 +1,8 @@
-"""Count what teams use, and refuse what goes beyond their limits."""
+"""Metering of the teams' usage, and enforcement of their rate limits.
+
+Decides locally, from the usage that other entries have reported, so that no
+request waits for a message.
+"""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -9,15 +13,15 @@
 from burdockdrum.metrics import Metrics
 from burdockdrum.ports import Clock
 from burdockdrum.quotas.decaying import DecayingSum
-from burdockdrum.quotas.limits import ASKED_SECONDS
-from burdockdrum.quotas.limits import draw_on
-from burdockdrum.quotas.limits import is_near
-from burdockdrum.quotas.limits import Known
-from burdockdrum.quotas.limits import passing_part
-from burdockdrum.quotas.limits import seconds_until_room
-from burdockdrum.quotas.limits import USED_SECONDS
+from burdockdrum.quotas.limits import admitted_fraction
+from burdockdrum.quotas.limits import estimate_retry_seconds
+from burdockdrum.quotas.limits import is_near_limit
+from burdockdrum.quotas.limits import REQUESTED_DECAY_SECONDS
+from burdockdrum.quotas.limits import update_burst_used
+from burdockdrum.quotas.limits import UsageEstimate
+from burdockdrum.quotas.limits import USED_DECAY_SECONDS
 from burdockdrum.quotas.sharing import UseSharing
-from burdockdrum.quotas.sums import Use
+from burdockdrum.quotas.sums import Usage
 from burdockdrum.resources import RateLimit
 from burdockdrum.verdicts import Refusal
 from burdockdrum.verdicts import RefusalCode
@@ -25,37 +29,37 @@
 
 MIN_RETRY_SECONDS = 0.3
 MAX_RETRY_SECONDS = 5.0
-# Who is refused together must not come back together.
-RETRY_SPREAD = 2.0
+# Spreads the retries of callers that are refused at the same time.
+RETRY_JITTER_FACTOR = 2.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Taken:
-    """What a request has used of its team's limit, in the limit's unit."""
+    """A request's charge to its team's limit, in the limit's unit."""
 
     team: str
     cost: float
 
 
-class _Tally:
-    """What one team uses and asks for here, and has drawn everywhere."""
+class _TeamCounter:
+    """A team's local usage and demand, and its used burst over all VMs."""
 
     def __init__(self, *, limit: RateLimit, now: float) -> None:
         self.limit = limit
-        self.used = DecayingSum(seconds=USED_SECONDS, now=now)
-        self.asked = DecayingSum(seconds=ASKED_SECONDS, now=now)
-        self.drawn = 0.0
-        self.drawn_at = now
-
-    def read(self, now: float) -> Use:
-        return Use(
-            used=self.used.read(now) / USED_SECONDS,
-            asked=self.asked.read(now) / ASKED_SECONDS,
+        self.used = DecayingSum(seconds=USED_DECAY_SECONDS, now=now)
+        self.requested = DecayingSum(seconds=REQUESTED_DECAY_SECONDS, now=now)
+        self.burst_used = 0.0
+        self.burst_updated_at = now
+
+    def read(self, now: float) -> Usage:
+        return Usage(
+            used=self.used.read(now) / USED_DECAY_SECONDS,
+            requested=self.requested.read(now) / REQUESTED_DECAY_SECONDS,
         )
 
 
 class QuotaMeter:
-    """Decide which requests of a team fit its limit over all VMs."""
+    """Admits requests within their teams' limits over all VMs."""
 
     def __init__(
         self,
@@ -66,129 +70,146 @@
         sharing: UseSharing,
         metrics: Metrics,
     ) -> None:
-        """Count from nothing."""
+        """Create a meter without usage."""
         self._clock = clock
         self._rng = rng
         self._callers = callers
         self._sharing = sharing
-        self._tally_by_team: dict[str, _Tally] = {}
+        self._counter_by_team: dict[str, _TeamCounter] = {}
         sharing.read_own = self.read_own
-        sharing.read_drawn = self._read_drawn
-        sharing.take_drawn = self._take_drawn
-        sharing.read_near = self._is_near
-        self._used = metrics.counter(
+        sharing.read_burst_used = self._read_burst_used
+        sharing.set_burst_used = self._set_burst_used
+        sharing.is_any_near_limit = self._is_any_near_limit
+        self._used_total = metrics.counter(
             "burdockdrum_team_used_total",
             "What teams have used of their limits, in the limits' units.",
         )
-        self._refused = metrics.counter(
+        self._refused_total = metrics.counter(
             "burdockdrum_team_refused_total",
             "Requests that were refused by the limits of teams.",
         )
 
     def take(self, caller: Caller, tokens: int) -> Taken | None:
-        """Count a request, if it fits the limit of its team.
+        """Charge a request to the limit of its team, or refuse it.
 
-        :param tokens: what it may read and write, 0 if it does not say
-        :returns: what to give back if it does not run, None without a limit
-        :raises Refusal: with the limit, what is known, and when to come back
+        :param tokens: the request's tokens of input and output, 0 if unknown
+        :returns: the charge, to refund if the request does not run; None if
+            there is no limit
+        :raises Refusal: with the limit, the estimated usage, and a time to
+            retry after
         """
         limit, team = caller.limit, caller.team
         if limit is None or team is None:
             return None
         now = self._clock.monotonic()
-        tally = self._find_tally(team, limit, now)
+        counter = self._find_counter(team, limit, now)
         cost = cost_of(limit, tokens)
-        tally.asked.add(cost, now)
-        known = self._read_known(team, tally, now)
-        if self._rng.random() >= passing_part(limit, known):
-            self._refused.increment(team=team)
-            raise self._refuse(team, limit, known)
-        tally.used.add(cost, now)
-        self._used.increment(cost, team=team)
+        counter.requested.add(cost, now)
+        estimate = self._estimate_usage(team, counter, now)
+        if self._rng.random() >= admitted_fraction(limit, estimate):
+            self._refused_total.increment(team=team)
+            raise self._make_refusal(team, limit, estimate)
+        counter.used.add(cost, now)
+        self._used_total.increment(cost, team=team)
         return Taken(team=team, cost=cost)
 
     def give_back(self, taken: Taken) -> None:
-        """Undo what was counted for a request that has not run."""
-        tally = self._tally_by_team.get(taken.team)
-        if tally is not None:
-            tally.used.add(-taken.cost, self._clock.monotonic())
-            self._used.increment(-taken.cost, team=taken.team)
-
-    def read_own(self) -> Mapping[str, Use]:
-        """Return what began here, of each team that has a limit."""
+        """Refund the charge of a request that has not run."""
+        counter = self._counter_by_team.get(taken.team)
+        if counter is not None:
+            counter.used.add(-taken.cost, self._clock.monotonic())
+            self._used_total.increment(-taken.cost, team=taken.team)
+
+    def read_own(self) -> Mapping[str, Usage]:
+        """Return the local usage of each team that has a limit."""
         now = self._clock.monotonic()
-        uses = {}
+        usage_by_team = {}
         for team, caller in self._callers.callers_by_team.items():
             if caller.limit is not None:
-                tally = self._find_tally(team, caller.limit, now)
-                self._read_known(team, tally, now)
-                uses[team] = tally.read(now)
-        return uses
-
-    def _find_tally(self, team: str, limit: RateLimit, now: float) -> _Tally:
-        tally = self._tally_by_team.get(team)
-        if tally is None or tally.limit.unit != limit.unit:
-            tally = self._tally_by_team[team] = _Tally(limit=limit, now=now)
-        tally.limit = limit
-        return tally
-
-    def _read_known(self, team: str, tally: _Tally, now: float) -> Known:
-        use = self._sharing.others(team).plus(tally.read(now))
-        unheard = self._sharing.unheard(team)
-        tally.drawn = draw_on(
-            tally.limit,
-            tally.drawn,
-            use.used,
-            unheard,
-            now - tally.drawn_at,
+                counter = self._find_counter(team, caller.limit, now)
+                self._estimate_usage(team, counter, now)
+                usage_by_team[team] = counter.read(now)
+        return usage_by_team
+
+    def _find_counter(
+        self, team: str, limit: RateLimit, now: float
+    ) -> _TeamCounter:
+        counter = self._counter_by_team.get(team)
+        if counter is None or counter.limit.unit != limit.unit:
+            counter = self._counter_by_team[team] = _TeamCounter(
+                limit=limit, now=now
+            )
+        counter.limit = limit
+        return counter
+
+    def _estimate_usage(
+        self, team: str, counter: _TeamCounter, now: float
+    ) -> UsageEstimate:
+        usage = self._sharing.others(team).plus(counter.read(now))
+        reserved = self._sharing.reserved_fraction(team)
+        counter.burst_used = update_burst_used(
+            counter.limit,
+            counter.burst_used,
+            usage.used,
+            reserved,
+            now - counter.burst_updated_at,
         )
-        tally.drawn_at = now
-        return Known(
-            used=use.used,
-            asked=use.asked,
-            drawn=tally.drawn,
-            unheard=unheard,
+        counter.burst_updated_at = now
+        return UsageEstimate(
+            used=usage.used,
+            requested=usage.requested,
+            burst_used=counter.burst_used,
+            reserved=reserved,
             age=self._sharing.age,
         )
 
-    def _read_drawn(self, team: str) -> float:
-        tally = self._tally_by_team.get(team)
-        if tally is None:
+    def _read_burst_used(self, team: str) -> float:
+        counter = self._counter_by_team.get(team)
+        if counter is None:
             return 0.0
-        return self._read_known(team, tally, self._clock.monotonic()).drawn
+        return self._estimate_usage(
+            team, counter, self._clock.monotonic()
+        ).burst_used
 
-    def _is_near(self) -> bool:
-        """Say whether some team is near its limit."""
+    def _is_any_near_limit(self) -> bool:
+        """Return whether any team is near its limit."""
         now = self._clock.monotonic()
         return any(
-            is_near(tally.limit, self._read_known(team, tally, now))
-            for team, tally in self._tally_by_team.items()
+            is_near_limit(
+                counter.limit, self._estimate_usage(team, counter, now)
+            )
+            for team, counter in self._counter_by_team.items()
         )
 
-    def _take_drawn(self, team: str, drawn: float) -> None:
-        """Go on from what the keeper has added up."""
-        tally = self._tally_by_team.get(team)
-        if tally is not None:
-            tally.drawn = drawn
-            tally.drawn_at = self._clock.monotonic()
-
-    def _refuse(self, team: str, limit: RateLimit, known: Known) -> Refusal:
-        wait = seconds_until_room(limit, known)
-        wait *= self._rng.uniform(1.0, RETRY_SPREAD)
-        heard = "never" if known.age is None else f"{known.age:.1f} s ago"
+    def _set_burst_used(self, team: str, burst_used: float) -> None:
+        """Replace the used burst by the aggregator's value."""
+        counter = self._counter_by_team.get(team)
+        if counter is not None:
+            counter.burst_used = burst_used
+            counter.burst_updated_at = self._clock.monotonic()
+
+    def _make_refusal(
+        self, team: str, limit: RateLimit, estimate: UsageEstimate
+    ) -> Refusal:
+        wait = estimate_retry_seconds(limit, estimate)
+        wait *= self._rng.uniform(1.0, RETRY_JITTER_FACTOR)
+        last_report = (
+            "never" if estimate.age is None else f"{estimate.age:.1f} s ago"
+        )
         return Refusal(
             code=RefusalCode.QUOTA,
             message=f"team {team!r} is at its limit of {limit.per_second:g} "
-            f"{limit.unit} a second: {known.asked:.0f} are asked for "
-            f"and {known.used:.0f} used, others heard {heard}, "
-            f"{known.unheard:.0%} of the limit kept for those unheard",
+            f"{limit.unit} per second: {estimate.requested:.0f} requested, "
+            f"{estimate.used:.0f} used, last report from other entries "
+            f"{last_report}, {estimate.reserved:.0%} of the limit reserved "
+            "for unreachable data centres",
             verdict=Verdict.NOT_RUN,
             retry_after=min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, wait)),
         )
 
 
 def cost_of(limit: RateLimit, tokens: int) -> float:
-    """Return what a request counts, in the unit of a limit."""
+    """Return the cost of a request, in the unit of a limit."""
     match limit.unit:
         case "requests":
             return 1.0
--- a/burdockdrum/quotas/services.py
+++ b/burdockdrum/quotas/services.py
@@ -1,4 +1,4 @@
-"""Name the services of this package."""
+"""Registers the services of this package."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 
 def add_services(kernel: Kernel) -> None:
-    """Name what counts the use of limits, on an entry."""
+    """Register the services that meter usage, on an entry."""
     if kernel.has("log"):
         return
     kernel.add("use_sharing", _build_sharing)
--- a/burdockdrum/quotas/sharing.py
+++ b/burdockdrum/quotas/sharing.py
@@ -1,8 +1,8 @@
-"""Entries tell each other what teams have used of their limits.
+"""Exchange of the teams' usage between the entries of all data centres.
 
-Each entry tells one entry of its data centre, the keeper, and hears from it
-what began everywhere else. Keepers of data centres tell each other. No
-request waits for a message.
+Each entry reports to one entry of its data centre, the aggregator, which
+replies with the usage of all others. Aggregators of different data centres
+broadcast their totals to each other. No request waits for a message.
 """
 
 from collections.abc import Callable
@@ -18,35 +18,35 @@
 from burdockdrum.peers import VmIdentity
 from burdockdrum.ports import Clock
 from burdockdrum.quotas.messages import DataCentreUse
-from burdockdrum.quotas.messages import OthersUse
+from burdockdrum.quotas.messages import OthersUsage
 from burdockdrum.quotas.messages import TeamUse
 from burdockdrum.quotas.messages import UseNotice
-from burdockdrum.quotas.silence import Silence
-from burdockdrum.quotas.silence import SILENT_SECONDS
+from burdockdrum.quotas.reservations import ReservedFractions
+from burdockdrum.quotas.reservations import UNREACHABLE_TIMEOUT_SECONDS
 from burdockdrum.quotas.sums import merge
-from burdockdrum.quotas.sums import NO_USE
-from burdockdrum.quotas.sums import Use
-from burdockdrum.quotas.sums import UseSums
+from burdockdrum.quotas.sums import NO_USAGE
+from burdockdrum.quotas.sums import Usage
+from burdockdrum.quotas.sums import UsageSums
 from burdockdrum.vms import FarKeepers
 from burdockdrum.vms import KeeperChoice
 
-TELL_SECONDS = 0.2
-# A keeper hears and answers 40 notices a second, whatever the number of
-# entries.
-SECONDS_AN_ENTRY = 0.025
-# Keepers tell each other so often, and more rarely while every team is far
-# from its limit.
-DATA_CENTRE_SECONDS = 0.2
-CALM_SECONDS = 0.4
-# What an entry that is gone has told has faded by now.
-FORGET_SECONDS = 10.0
-# Sums are added up anew after this, not for each request.
-ADD_UP_SECONDS = 0.05
-_KEEPER = "keeper"
+REPORT_INTERVAL_SECONDS = 0.2
+# Limits the aggregator's load to 40 reports per second, however many entries
+# there are.
+REPORT_INTERVAL_PER_ENTRY_SECONDS = 0.025
+# Aggregators broadcast at the first interval, or at the second while no team
+# is near its limit.
+BROADCAST_INTERVAL_SECONDS = 0.2
+MAX_BROADCAST_INTERVAL_SECONDS = 0.4
+# The last report of a removed entry has decayed by then.
+SOURCE_EXPIRY_SECONDS = 10.0
+# Totals are cached, as they are read for each request.
+TOTALS_CACHE_SECONDS = 0.05
+_AGGREGATOR = "aggregator"
 
 
 class UseSharing:
-    """What all entries but this one have used of each limit."""
+    """Exchanges usage with other entries, and totals what they report."""
 
     def __init__(
         self,
@@ -57,154 +57,164 @@
         read_draining: Callable[[], bool] = bool,
         data_centres: Iterable[str] = (),
     ) -> None:
-        """Know of no use.
+        """Create a sharing without reports.
 
-        :param read_entries: returns the other entries, of all regions
-        :param read_draining: returns whether others leave this VM out
-        :param data_centres: where there may be entries
+        :param read_entries: returns the other entries of all regions
+        :param read_draining: returns whether this VM is draining
+        :param data_centres: the data centres that may have entries
         """
-        # Set by what counts the use here.
-        self.read_own: Callable[[], Mapping[str, Use]] = dict
-        # What was used of a burst, as this VM or its keeper adds it up.
-        self.read_drawn: Callable[[str], float] = _nothing
-        self.take_drawn: Callable[[str, float], None] = _ignore
-        # Whether some team is near its limit.
-        self.read_near: Callable[[], bool] = bool
+        # Callbacks, set by the meter.
+        self.read_own: Callable[[], Mapping[str, Usage]] = dict
+        # The used amount of a team's burst.
+        self.read_burst_used: Callable[[str], float] = _no_burst_used
+        self.set_burst_used: Callable[[str, float], None] = _discard_burst_used
+        # Whether any team is near its limit.
+        self.is_any_near_limit: Callable[[], bool] = bool
         self._own = peers.identity
         self._peers = peers
         self._clock = clock
         self._read_entries = read_entries
         self._read_draining = read_draining
-        self._keepers = KeeperChoice(own=self._own)
-        self._keeper: VmIdentity = self._own
-        self._neighbours = 0
-        self._told_at = float("-inf")
-        # Of a keeper, what each entry here has told; else the keeper's word.
-        self._here = UseSums()
-        # By the address of the entry that adds up there.
-        self._elsewhere = UseSums()
-        self._far_keepers = FarKeepers(
-            own=self._own, keep_seconds=SILENT_SECONDS
+        self._aggregator_choice = KeeperChoice(own=self._own)
+        self._aggregator: VmIdentity = self._own
+        self._neighbour_count = 0
+        self._broadcast_at = float("-inf")
+        # At an aggregator, the reports of this data centre's entries;
+        # elsewhere, the last reply of the aggregator.
+        self._here = UsageSums()
+        # Reports of other data centres, by the address of their aggregator.
+        self._elsewhere = UsageSums()
+        self._remote_aggregators = FarKeepers(
+            own=self._own, keep_seconds=UNREACHABLE_TIMEOUT_SECONDS
         )
         own = self._own.data_centre
         now = clock.monotonic()
-        self._far_silence = Silence(
+        self._remote_reservations = ReservedFractions(
             names=[name for name in data_centres if name != own], now=now
         )
-        self._keeper_silence = Silence(names=[], now=now)
-        self._unheard_by_team: dict[str, float] = {}
-        self._others: dict[str, Use] = {}
+        self._aggregator_reservation = ReservedFractions(names=[], now=now)
+        self._reserved_by_team: dict[str, float] = {}
+        self._others: dict[str, Usage] = {}
         self._others_at = float("-inf")
-        self._everywhere: list[TeamUse] = []
-        self._everywhere_at = float("-inf")
+        self._totals: list[TeamUse] = []
+        self._totals_at = float("-inf")
         peers.register(UseNotice, self._take_notice)
-        peers.register(OthersUse, self._take_others)
-        peers.register(DataCentreUse, self._take_data_centre)
+        peers.register(OthersUsage, self._receive_reply)
+        peers.register(DataCentreUse, self._receive_data_centre)
 
     @property
-    def is_keeper(self) -> bool:
-        """Say whether this entry adds up for its data centre."""
-        return self._keeper == self._own
+    def is_aggregator(self) -> bool:
+        """Return whether this entry is its data centre's aggregator."""
+        return self._aggregator == self._own
 
     @property
     def age(self) -> float | None:
-        """Return how many seconds ago others were heard, None if never."""
+        """Return the age in seconds of the oldest report, None if none."""
         now = self._clock.monotonic()
-        sums = self._elsewhere if self.is_keeper else self._here
-        return max(sums.ages(now), default=None)
+        reports = self._elsewhere if self.is_aggregator else self._here
+        return max(reports.ages(now), default=None)
 
-    def others(self, team: str) -> Use:
-        """Return what began at all other entries that are heard."""
-        return self._add_up_others().get(team, NO_USE)
+    def others(self, team: str) -> Usage:
+        """Return a team's usage at all other reachable entries."""
+        return self._total_others().get(team, NO_USAGE)
 
-    def unheard(self, team: str) -> float:
-        """Return the part of a team's limit that others may use unheard."""
+    def reserved_fraction(self, team: str) -> float:
+        """Return the fraction of a limit reserved for unreachable entries."""
         now = self._clock.monotonic()
-        if self.is_keeper:
-            return self._far_silence.part(team, now)
-        told = self._unheard_by_team.get(team, 0.0)
-        silent = self._keeper_silence.part(team, now)
-        return told + (1 - told) * silent
+        if self.is_aggregator:
+            return self._remote_reservations.fraction(team, now)
+        reported = self._reserved_by_team.get(team, 0.0)
+        unreachable = self._aggregator_reservation.fraction(team, now)
+        return reported + (1 - reported) * unreachable
 
     async def run(self) -> None:
-        """Tell the others until cancelled."""
+        """Exchange usage with the other entries until cancelled."""
         while True:
-            await self._clock.sleep(self._tick())
+            await self._clock.sleep(self._exchange())
 
-    def _tick(self) -> float:
-        """Tell who is to be told; return the seconds until the next time."""
+    def _exchange(self) -> float:
+        """Send a report; return the seconds until the next one."""
         own = self.read_own()
         if not own:
             # No team has a limit.
-            return TELL_SECONDS
+            return REPORT_INTERVAL_SECONDS
         now = self._clock.monotonic()
         others = list(self._read_entries())
         neighbours = [e for e in others if self._is_neighbour(e)]
-        self._neighbours = len(neighbours)
-        self._here.forget_before(now - FORGET_SECONDS)
-        self._elsewhere.forget_before(now - FORGET_SECONDS)
-        may_keep = not self._read_draining()
-        self._set_keeper(
-            self._keepers.choose(neighbours, now, may_keep=may_keep), now
+        self._neighbour_count = len(neighbours)
+        self._here.forget_before(now - SOURCE_EXPIRY_SECONDS)
+        self._elsewhere.forget_before(now - SOURCE_EXPIRY_SECONDS)
+        can_aggregate = not self._read_draining()
+        self._set_aggregator(
+            self._aggregator_choice.choose(
+                neighbours, now, may_keep=can_aggregate
+            ),
+            now,
         )
-        if self.is_keeper:
-            if self._is_due(now):
-                self._tell_data_centres(others, now)
-                self._told_at = now
-            return DATA_CENTRE_SECONDS
+        if self.is_aggregator:
+            if self._is_broadcast_due(now):
+                self._broadcast(others, now)
+                self._broadcast_at = now
+            return BROADCAST_INTERVAL_SECONDS
         notice = UseNotice(uses=_to_wire(own))
-        self._peers.send(self._keeper.control_address, notice)
-        self._keepers.note_asked(self._keeper.vm_id, now)
-        return max(TELL_SECONDS, SECONDS_AN_ENTRY * (len(neighbours) + 1))
+        self._peers.send(self._aggregator.control_address, notice)
+        self._aggregator_choice.note_asked(self._aggregator.vm_id, now)
+        return max(
+            REPORT_INTERVAL_SECONDS,
+            REPORT_INTERVAL_PER_ENTRY_SECONDS * (len(neighbours) + 1),
+        )
 
-    def _is_due(self, now: float) -> bool:
-        rest = now + DATA_CENTRE_SECONDS - self._told_at
-        return self.read_near() or rest > CALM_SECONDS
+    def _is_broadcast_due(self, now: float) -> bool:
+        next_age = now + BROADCAST_INTERVAL_SECONDS - self._broadcast_at
+        return (
+            self.is_any_near_limit()
+            or next_age > MAX_BROADCAST_INTERVAL_SECONDS
+        )
 
-    def _set_keeper(self, keeper: VmIdentity, now: float) -> None:
-        if keeper == self._keeper:
+    def _set_aggregator(self, aggregator: VmIdentity, now: float) -> None:
+        if aggregator == self._aggregator:
             return
-        self._keeper = keeper
-        self._here = UseSums()
-        self._keeper_silence.expect(
-            _KEEPER, now, equal_part=self._neighbours_part
+        self._aggregator = aggregator
+        self._here = UsageSums()
+        self._aggregator_reservation.expect(
+            _AGGREGATOR, now, equal_fraction=self._neighbours_fraction
         )
-        log_decision("use.keeper_chosen", about_vm=keeper.vm_id)
+        log_decision("use.keeper_chosen", about_vm=aggregator.vm_id)
 
     @property
-    def _neighbours_part(self) -> float:
-        """Return the other entries' part of what this data centre serves."""
-        return self._neighbours / (self._neighbours + 1)
+    def _neighbours_fraction(self) -> float:
+        """Return the fraction of this data centre's other entries."""
+        return self._neighbour_count / (self._neighbour_count + 1)
 
     def _is_neighbour(self, entry: VmIdentity) -> bool:
         return entry.data_centre == self._own.data_centre
 
-    def _tell_data_centres(self, others: list[VmIdentity], now: float) -> None:
+    def _broadcast(self, others: list[VmIdentity], now: float) -> None:
         message = DataCentreUse(
             data_centre=self._own.data_centre,
             keeper=self._own.control_address,
-            uses=_to_wire(self._sum_here(now)),
+            uses=_to_wire(self._total_here(now)),
         )
-        for address in self._far_keepers.find_all(others, now).values():
+        for address in self._remote_aggregators.find_all(others, now).values():
             self._peers.send(address, message)
 
-    def _sum_here(self, now: float) -> dict[str, Use]:
-        """Return what began in this data centre, by team."""
-        sums = self._here.add_up(now)
-        merge(sums, self.read_own())
-        return sums
+    def _total_here(self, now: float) -> dict[str, Usage]:
+        """Return the usage in this data centre, by team."""
+        totals = self._here.total(now)
+        merge(totals, self.read_own())
+        return totals
 
-    def _add_up_others(self) -> dict[str, Use]:
+    def _total_others(self) -> dict[str, Usage]:
         now = self._clock.monotonic()
-        if now - self._others_at <= ADD_UP_SECONDS:
+        if now - self._others_at <= TOTALS_CACHE_SECONDS:
             return self._others
-        # Who is silent has a part of the limit instead.
-        since = now - SILENT_SECONDS
-        if self.is_keeper:
-            self._others = self._here.add_up(now)
-            merge(self._others, self._elsewhere.add_up(now, since))
+        # An unreachable source has a reserved fraction instead of usage.
+        since = now - UNREACHABLE_TIMEOUT_SECONDS
+        if self.is_aggregator:
+            self._others = self._here.total(now)
+            merge(self._others, self._elsewhere.total(now, since))
         else:
-            self._others = self._here.add_up(now, since)
+            self._others = self._here.total(now, since)
         self._others_at = now
         return self._others
 
@@ -212,110 +222,123 @@
         self, sender: Sender, message: UseNotice
     ) -> Message | None:
         now = self._clock.monotonic()
-        self._here.put(sender.vm_id, message.uses, now)
-        self._peers.send(sender.address, self._answer(sender.vm_id, now))
+        self._here.record(sender.vm_id, message.uses, now)
+        self._peers.send(sender.address, self._make_reply(sender.vm_id, now))
         return None
 
-    def _answer(self, asker: str, now: float) -> OthersUse:
-        told = self._here.read(asker, now)
-        return OthersUse(
+    def _make_reply(self, reporter: str, now: float) -> OthersUsage:
+        own = self._here.read(reporter, now)
+        return OthersUsage(
             uses=[
-                _without(use, told[use.team]) if use.team in told else use
-                for use in self._list_everywhere(now)
+                _subtract(usage, own[usage.team])
+                if usage.team in own
+                else usage
+                for usage in self._list_totals(now)
             ]
         )
 
-    def _list_everywhere(self, now: float) -> list[TeamUse]:
-        """Return what is used here and elsewhere, for answers."""
-        if now - self._everywhere_at <= ADD_UP_SECONDS:
-            return self._everywhere
-        sums = dict(self._add_up_others())
-        merge(sums, self.read_own())
-        self._everywhere = [
+    def _list_totals(self, now: float) -> list[TeamUse]:
+        """Return the usage of all entries, for replies."""
+        if now - self._totals_at <= TOTALS_CACHE_SECONDS:
+            return self._totals
+        totals = dict(self._total_others())
+        merge(totals, self.read_own())
+        self._totals = [
             TeamUse(
                 team,
-                round(use.used, 1),
-                round(use.asked, 1),
-                round(self.read_drawn(team), 1),
-                round(self.unheard(team), 3),
+                round(usage.used, 1),
+                round(usage.requested, 1),
+                round(self.read_burst_used(team), 1),
+                round(self.reserved_fraction(team), 3),
             )
-            for team, use in sums.items()
+            for team, usage in totals.items()
         ]
-        self._everywhere_at = now
-        return self._everywhere
+        self._totals_at = now
+        return self._totals
 
-    async def _take_others(
-        self, sender: Sender, message: OthersUse
+    async def _receive_reply(
+        self, sender: Sender, message: OthersUsage
     ) -> Message | None:
         now = self._clock.monotonic()
-        self._keepers.note_answer(sender.vm_id)
-        if self.is_keeper or sender.vm_id != self._keeper.vm_id:
+        self._aggregator_choice.note_answer(sender.vm_id)
+        if self.is_aggregator or sender.vm_id != self._aggregator.vm_id:
             return None
-        self._here.put(sender.vm_id, message.uses, now)
+        self._here.record(sender.vm_id, message.uses, now)
         self._others_at = float("-inf")
-        self._unheard_by_team = {use.team: use.unheard for use in message.uses}
-        for use in message.uses:
-            self.take_drawn(use.team, use.drawn)
+        self._reserved_by_team = {
+            usage.team: usage.reserved for usage in message.uses
+        }
+        for usage in message.uses:
+            self.set_burst_used(usage.team, usage.burst_used)
         own = self.read_own()
-        parts = {
-            use.team: _part(use.asked, own.get(use.team, NO_USE).asked)
-            for use in message.uses
+        fractions = {
+            usage.team: _fraction(
+                usage.requested, own.get(usage.team, NO_USAGE).requested
+            )
+            for usage in message.uses
         }
-        self._keeper_silence.note(
-            _KEEPER, parts, now, equal_part=self._neighbours_part
+        self._aggregator_reservation.record(
+            _AGGREGATOR,
+            fractions,
+            now,
+            equal_fraction=self._neighbours_fraction,
         )
         return None
 
-    async def _take_data_centre(
+    async def _receive_data_centre(
         self, sender: Sender, message: DataCentreUse
     ) -> Message | None:
-        if not self.is_keeper:
-            if not message.passed_on:
-                passed_on = msgspec.structs.replace(message, passed_on=True)
-                self._peers.send(self._keeper.control_address, passed_on)
+        if not self.is_aggregator:
+            if not message.forwarded:
+                forwarded = msgspec.structs.replace(message, forwarded=True)
+                self._peers.send(self._aggregator.control_address, forwarded)
             return None
         now = self._clock.monotonic()
         name = message.data_centre
-        self._far_keepers.note(name, message.keeper, now)
-        self._elsewhere.put(message.keeper, message.uses, now)
-        own, others = self.read_own(), self._add_up_others()
-        parts = {}
-        for use in message.uses:
-            total = others.get(use.team, NO_USE).asked
-            total += own.get(use.team, NO_USE).asked
-            parts[use.team] = use.asked / max(1.0, total, use.asked)
-        known = len(self._far_keepers) + 1
-        self._far_silence.note(name, parts, now, equal_part=1 / known)
+        self._remote_aggregators.note(name, message.keeper, now)
+        self._elsewhere.record(message.keeper, message.uses, now)
+        own_usage, others = self.read_own(), self._total_others()
+        fractions = {}
+        for usage in message.uses:
+            total = others.get(usage.team, NO_USAGE).requested
+            total += own_usage.get(usage.team, NO_USAGE).requested
+            fractions[usage.team] = usage.requested / max(
+                1.0, total, usage.requested
+            )
+        count = len(self._remote_aggregators) + 1
+        self._remote_reservations.record(
+            name, fractions, now, equal_fraction=1 / count
+        )
         return None
 
 
-def _without(use: TeamUse, part: Use) -> TeamUse:
-    """Return what is left of a use without a part of it."""
+def _subtract(usage: TeamUse, part: Usage) -> TeamUse:
+    """Return a team's usage without that of one entry."""
     return TeamUse(
-        use.team,
-        max(0.0, use.used - part.used),
-        max(0.0, use.asked - part.asked),
-        use.drawn,
-        use.unheard,
+        usage.team,
+        max(0.0, usage.used - part.used),
+        max(0.0, usage.requested - part.requested),
+        usage.burst_used,
+        usage.reserved,
     )
 
 
-def _part(first: float, second: float) -> float:
-    return first / max(1.0, first + second)
+def _fraction(part: float, rest: float) -> float:
+    return part / max(1.0, part + rest)
 
 
-def _nothing(team: str) -> float:
+def _no_burst_used(team: str) -> float:
     return 0.0
 
 
-def _ignore(team: str, drawn: float) -> None:
-    """Drop what nobody asks for."""
+def _discard_burst_used(team: str, burst_used: float) -> None:
+    """Discard the aggregator's value, as there is no meter."""
 
 
-def _to_wire(use_by_team: Mapping[str, Use]) -> list[TeamUse]:
-    """Return uses as messages hold them, without those of nothing."""
-    uses = [
-        TeamUse(team, round(use.used, 1), round(use.asked, 1))
-        for team, use in use_by_team.items()
+def _to_wire(usage_by_team: Mapping[str, Usage]) -> list[TeamUse]:
+    """Return usage as messages carry it, without idle teams."""
+    usages = [
+        TeamUse(team, round(usage.used, 1), round(usage.requested, 1))
+        for team, usage in usage_by_team.items()
     ]
-    return [use for use in uses if use.asked or use.used]
+    return [usage for usage in usages if usage.requested or usage.used]
--- a/burdockdrum/quotas/sums.py
+++ b/burdockdrum/quotas/sums.py
@@ -1,4 +1,8 @@
-"""What several sources have told of each team's use, added up."""
+"""Totals of the usage that several sources have reported.
+
+The last report of a source counts as its current rate; without a newer one
+it decays, so that a source that is gone stops counting.
+"""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -7,94 +11,104 @@
 from burdockdrum.quotas.decaying import decay
 from burdockdrum.quotas.messages import TeamUse
 
-# A source that is heard goes on as it said; what one that is not heard has
-# said counts less and less.
-STEADY_SECONDS = 1.0
-FADE_SECONDS = 0.5
+# How long a report counts in full, and the time constant of its decay after.
+REPORT_VALID_SECONDS = 1.0
+STALE_DECAY_SECONDS = 0.5
 
 
 @dataclass(frozen=True, kw_only=True)
-class Use:
-    """What a team uses and asks for, a second."""
+class Usage:
+    """A team's usage and demand per second."""
 
     used: float = 0.0
-    asked: float = 0.0
+    requested: float = 0.0
 
-    def plus(self, other: "Use") -> "Use":
-        """Return both together."""
-        return Use(used=self.used + other.used, asked=self.asked + other.asked)
+    def plus(self, other: "Usage") -> "Usage":
+        """Return the sum of both."""
+        return Usage(
+            used=self.used + other.used,
+            requested=self.requested + other.requested,
+        )
 
-    def minus(self, other: "Use") -> "Use":
-        """Return this one without a part of it."""
-        return Use(
+    def minus(self, other: "Usage") -> "Usage":
+        """Return the difference, at least 0."""
+        return Usage(
             used=max(0.0, self.used - other.used),
-            asked=max(0.0, self.asked - other.asked),
+            requested=max(0.0, self.requested - other.requested),
         )
 
 
-NO_USE = Use()
+NO_USAGE = Usage()
 
 
-def merge(first: dict[str, Use], second: Mapping[str, Use]) -> None:
-    """Add what a second mapping holds to a first one, by team."""
-    for team, use in second.items():
-        first[team] = first.get(team, NO_USE).plus(use)
+def merge(first: dict[str, Usage], second: Mapping[str, Usage]) -> None:
+    """Add the usage in the second mapping to the first, by team."""
+    for team, usage in second.items():
+        first[team] = first.get(team, NO_USAGE).plus(usage)
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Told:
-    heard_at: float
-    use_by_team: dict[str, Use]
+class _SourceReport:
+    received_at: float
+    usage_by_team: dict[str, Usage]
 
 
-class UseSums:
-    """The last word of each source; sums are read as they are by now."""
+class UsageSums:
+    """The last report of each source, and totals over the sources."""
 
     def __init__(self) -> None:
-        """Know of no source."""
-        self._told_by_source: dict[str, _Told] = {}
-
-    def put(self, source: str, uses: Iterable[TeamUse], now: float) -> None:
-        """Replace what a source has told."""
-        self._told_by_source[source] = _Told(
-            heard_at=now,
-            use_by_team={
-                use.team: Use(used=use.used, asked=use.asked) for use in uses
+        """Create totals without sources."""
+        self._report_by_source: dict[str, _SourceReport] = {}
+
+    def record(
+        self, source: str, usages: Iterable[TeamUse], now: float
+    ) -> None:
+        """Replace the report of a source."""
+        self._report_by_source[source] = _SourceReport(
+            received_at=now,
+            usage_by_team={
+                usage.team: Usage(used=usage.used, requested=usage.requested)
+                for usage in usages
             },
         )
 
     def ages(self, now: float) -> list[float]:
-        """Return how many seconds ago each source was heard."""
-        return [now - t.heard_at for t in self._told_by_source.values()]
-
-    def forget_before(self, moment: float) -> None:
-        """Drop sources that were not heard since a moment."""
-        for source, told in list(self._told_by_source.items()):
-            if told.heard_at < moment:
-                del self._told_by_source[source]
-
-    def add_up(
+        """Return the age of each source's report in seconds."""
+        return [
+            now - report.received_at
+            for report in self._report_by_source.values()
+        ]
+
+    def forget_before(self, oldest: float) -> None:
+        """Remove sources whose report is older than ``oldest``."""
+        for source, report in list(self._report_by_source.items()):
+            if report.received_at < oldest:
+                del self._report_by_source[source]
+
+    def total(
         self, now: float, since: float = float("-inf")
-    ) -> dict[str, Use]:
-        """Return the sum of the sources heard since a moment, by team."""
-        sums: dict[str, Use] = {}
-        for source, told in self._told_by_source.items():
-            if told.heard_at >= since:
-                merge(sums, self.read(source, now))
-        return sums
-
-    def read(self, source: str, now: float) -> Mapping[str, Use]:
-        """Return what a source has told, as it is by now."""
-        told = self._told_by_source.get(source)
-        if told is None:
+    ) -> dict[str, Usage]:
+        """Return the total by team of reports not older than ``since``."""
+        totals: dict[str, Usage] = {}
+        for source, report in self._report_by_source.items():
+            if report.received_at >= since:
+                merge(totals, self.read(source, now))
+        return totals
+
+    def read(self, source: str, now: float) -> Mapping[str, Usage]:
+        """Return the usage of a source by team, decayed to ``now``."""
+        report = self._report_by_source.get(source)
+        if report is None:
             return {}
-        silent = now - told.heard_at - STEADY_SECONDS
-        if silent <= 0:
-            return told.use_by_team
+        stale_seconds = now - report.received_at - REPORT_VALID_SECONDS
+        if stale_seconds <= 0:
+            return report.usage_by_team
         return {
-            team: Use(
-                used=decay(use.used, silent, FADE_SECONDS),
-                asked=decay(use.asked, silent, FADE_SECONDS),
+            team: Usage(
+                used=decay(usage.used, stale_seconds, STALE_DECAY_SECONDS),
+                requested=decay(
+                    usage.requested, stale_seconds, STALE_DECAY_SECONDS
+                ),
             )
-            for team, use in told.use_by_team.items()
+            for team, usage in report.usage_by_team.items()
         }
--- a/tests/callers/fakes.py
+++ b/tests/callers/fakes.py
@@ -1,11 +1,11 @@
-"""What the tests of callers share."""
+"""Fakes and factories for tests of callers and their limits."""
 
 import random
 
 from burdockdrum.callers import CallerFinder
 from burdockdrum.metrics import Metrics
 from burdockdrum.quotas import QuotaMeter
-from burdockdrum.quotas.sums import NO_USE
+from burdockdrum.quotas.sums import NO_USAGE
 from burdockdrum.resources import Backend
 from burdockdrum.resources import Configuration
 from burdockdrum.resources import hash_token
@@ -18,15 +18,15 @@
 
 
 class FakeConfiguration:
-    """A configuration service; ``age`` is how old its knowledge is."""
+    """A configuration service whose age the test sets."""
 
     def __init__(self, *, teams=None, routes=(), age=0.1):
-        """Hold one route table."""
+        """Create a service with one route table."""
         self.age = age
         self.bring(teams=teams, routes=routes)
 
     def bring(self, *, teams=None, routes=(), generation=1):
-        """Bring a table into force."""
+        """Replace the current route table."""
         table = RouteTableSpec(
             generation=generation,
             routes=list(routes),
@@ -43,32 +43,32 @@
         return True
 
 
-class Unshared:
-    """A sharing of uses that hears nobody."""
+class FakeUsageSharing:
+    """Usage of other entries, as the test sets it."""
 
     def __init__(self):
-        """Know of no other entry."""
-        self.use_by_team = {}
-        self.unheard_part = 0.0
+        """Create a fake without usage at other entries."""
+        self.usage_by_team = {}
+        self.reserved = 0.0
         self.age = None
 
     def others(self, team):
-        """Return what a test says that began elsewhere."""
-        return self.use_by_team.get(team, NO_USE)
+        """Return the usage that the test has set."""
+        return self.usage_by_team.get(team, NO_USAGE)
 
-    def unheard(self, team):
-        """Return the part that a test says is kept for others."""
-        return self.unheard_part
+    def reserved_fraction(self, team):
+        """Return the reserved fraction that the test has set."""
+        return self.reserved
 
 
 def make_team(name, *tokens, **fields):
-    """Return a team with tokens."""
+    """Return a team that authenticates with the given tokens."""
     hashes = [hash_token(token) for token in tokens]
     return RouteTeam(name=name, token_hashes=hashes, **fields)
 
 
 def make_finder(configuration, **fields):
-    """Return a finder of callers with the usual bound on age."""
+    """Return a caller finder with the default maximum age."""
     return CallerFinder(
         configuration=configuration,
         certain_seconds=CERTAIN_SECONDS,
@@ -77,11 +77,11 @@
 
 
 def make_meter(clock, finder, sharing=None):
-    """Return a meter that hears of no other entry."""
+    """Return a meter; by default there is no usage at other entries."""
     return QuotaMeter(
         clock=clock,
         rng=random.Random(1),
         callers=finder,
-        sharing=sharing or Unshared(),
+        sharing=sharing or FakeUsageSharing(),
         metrics=Metrics(),
     )
--- a/tests/quotas/__init__.py
+++ b/tests/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of limits of teams over all entries."""
+"""Tests of the teams' rate limits over all entries."""
--- a/tests/quotas/test_meter.py
+++ b/tests/quotas/test_meter.py
@@ -1,57 +1,57 @@
-"""Tests of counting what teams use."""
+"""Tests of the metering of the teams' usage."""
 
 import unittest
 
-from burdockdrum.quotas.limits import ASKED_SECONDS
-from burdockdrum.quotas.limits import USED_SECONDS
+from burdockdrum.quotas.limits import REQUESTED_DECAY_SECONDS
+from burdockdrum.quotas.limits import USED_DECAY_SECONDS
 from burdockdrum.quotas.meter import cost_of
-from burdockdrum.quotas.sums import Use
+from burdockdrum.quotas.sums import Usage
 from burdockdrum.resources import RateLimit
 from burdockdrum.verdicts import Refusal
 from burdockdrum.verdicts import RefusalCode
 from burdockdrum.verdicts import Verdict
 from tests.callers.fakes import FakeConfiguration
+from tests.callers.fakes import FakeUsageSharing
 from tests.callers.fakes import make_finder
 from tests.callers.fakes import make_meter
 from tests.callers.fakes import make_team
-from tests.callers.fakes import Unshared
 from tests.passthrough.fakes import SteppedClock
 
 
 class MeterTest(unittest.TestCase):
-    """One VM, one team of 1,000 tokens a second."""
+    """One VM and a team with a limit of 1,000 tokens per second."""
 
     def setUp(self):
         self.clock = SteppedClock()
-        self.sharing = Unshared()
+        self.sharing = FakeUsageSharing()
         self.configuration = FakeConfiguration()
         self.finder = make_finder(self.configuration)
         self.meter = make_meter(self.clock, self.finder, self.sharing)
-        self.bring(1000.0)
+        self.set_limit(1000.0)
 
-    def bring(self, per_second, unit="tokens"):
-        """Bring another limit into force."""
+    def set_limit(self, per_second, unit="tokens"):
+        """Replace the team's limit."""
         limit = RateLimit(
             unit=unit, per_second=per_second, burst=per_second, plain_tokens=7
         )
         self.configuration.bring(teams=[make_team("t", "k", limit=limit)])
 
-    def take(self, tokens):
-        """Count a request of the team."""
+    def charge_request(self, tokens):
+        """Charge a request to the team."""
         return self.meter.take(self.finder.find("k"), tokens)
 
-    def count_passed(self, tokens, number):
-        """Return how many of equal requests pass at the same moment."""
-        passed = 0
+    def count_admitted(self, tokens, number):
+        """Return how many of equal simultaneous requests are admitted."""
+        admitted = 0
         for _ in range(number):
             try:
-                self.take(tokens)
-                passed += 1
+                self.charge_request(tokens)
+                admitted += 1
             except Refusal as refusal:
                 self.assertIs(RefusalCode.QUOTA, refusal.code)
                 self.assertIs(Verdict.NOT_RUN, refusal.verdict)
                 self.assertGreater(refusal.retry_after, 0)
-        return passed
+        return admitted
 
     def test_cost_is_in_the_unit_of_the_limit(self):
         tokens = RateLimit(unit="tokens", per_second=1.0, plain_tokens=200.0)
@@ -60,52 +60,56 @@
         requests = RateLimit(unit="requests", per_second=1.0)
         self.assertEqual(1.0, cost_of(requests, 90))
 
-    def test_team_without_limit_is_not_counted(self):
+    def test_team_without_limit_is_not_metered(self):
         self.configuration.bring(teams=[make_team("t", "k")])
-        self.assertIsNone(self.take(10**9))
+        self.assertIsNone(self.charge_request(10**9))
         self.assertEqual({}, self.meter.read_own())
 
-    def test_use_elsewhere_counts(self):
-        """Each entry lets through what the whole limit allows."""
-        alone = self.count_passed(100, 100)
+    def test_usage_at_other_entries_counts(self):
+        """Each entry admits the whole limit."""
+        without_others = self.count_admitted(100, 100)
         self.clock.now += 60
-        self.sharing.use_by_team["t"] = Use(used=1500.0, asked=50_000.0)
-        self.assertLess(self.count_passed(100, 100), alone / 4)
-
-    def test_lower_limit_binds_what_was_used_before(self):
-        """A limit that falls starts with all of its burst."""
-        self.count_passed(10, 50)
-        self.bring(100.0)
-        passed = 0
+        self.sharing.usage_by_team["t"] = Usage(
+            used=1500.0, requested=50_000.0
+        )
+        self.assertLess(self.count_admitted(100, 100), without_others / 4)
+
+    def test_lower_limit_counts_earlier_usage(self):
+        """A lowered limit starts with a full burst."""
+        self.count_admitted(10, 50)
+        self.set_limit(100.0)
+        admitted = 0
         for _ in range(80):
-            passed += 10 * self.count_passed(10, 10)
+            admitted += 10 * self.count_admitted(10, 10)
             self.clock.now += 0.1
-        self.assertLess(passed, (100.0 * 8 + 100.0) * 1.1)
+        self.assertLess(admitted, (100.0 * 8 + 100.0) * 1.1)
 
-    def test_other_unit_starts_anew(self):
-        self.take(900)
-        self.bring(100.0, unit="requests")
-        self.take(900)
+    def test_change_of_unit_resets_usage(self):
+        self.charge_request(900)
+        self.set_limit(100.0, unit="requests")
+        self.charge_request(900)
         used = self.meter.read_own()["t"].used
-        self.assertAlmostEqual(1.0, used * USED_SECONDS)
+        self.assertAlmostEqual(1.0, used * USED_DECAY_SECONDS)
 
-    def test_what_has_not_run_is_given_back(self):
-        taken = self.take(500)
-        self.meter.give_back(taken)
+    def test_charge_of_a_request_that_has_not_run_is_refunded(self):
+        charge = self.charge_request(500)
+        self.meter.give_back(charge)
         own = self.meter.read_own()["t"]
         self.assertEqual(0.0, own.used)
-        self.assertAlmostEqual(500.0, own.asked * ASKED_SECONDS)
+        self.assertAlmostEqual(500.0, own.requested * REQUESTED_DECAY_SECONDS)
 
-    def test_team_that_is_gone_is_told_no_more(self):
-        self.take(500)
+    def test_removed_team_is_not_reported(self):
+        self.charge_request(500)
         self.configuration.bring(teams=[])
         self.assertEqual({}, self.meter.read_own())
 
-    def test_refusal_says_what_was_known(self):
-        self.sharing.use_by_team["t"] = Use(used=9000.0, asked=90_000.0)
+    def test_refusal_states_limit_and_estimate(self):
+        self.sharing.usage_by_team["t"] = Usage(
+            used=9000.0, requested=90_000.0
+        )
         self.sharing.age = 0.3
-        self.sharing.unheard_part = 0.25
+        self.sharing.reserved = 0.25
         with self.assertRaises(Refusal) as caught:
-            self.take(100)
+            self.charge_request(100)
         for part in ("'t'", "1000 tokens", "0.3 s ago", "25%"):
             self.assertIn(part, caught.exception.message)
