--- a/burdockdrum/callers/__init__.py
+++ b/burdockdrum/callers/__init__.py
@@ -1,4 +1,8 @@
-"""Who is calling: a token turned into a team, its rank, homes and limit."""
+"""Authentication of callers.
+
+Maps a bearer token to a client or team and applies the team's rank, home
+regions and rate limit to the route that it requests.
+"""
 
 from burdockdrum.callers.caller import Caller
 from burdockdrum.callers.caller import callers_by_token_hash
--- a/burdockdrum/callers/caller.py
+++ b/burdockdrum/callers/caller.py
@@ -1,4 +1,8 @@
-"""A caller, as one configuration knows it."""
+"""The authenticated caller of a request.
+
+Builds callers from the clients and the route table's teams of one
+configuration, so that a request can be authenticated by a token's hash.
+"""
 
 from dataclasses import dataclass
 
@@ -9,11 +13,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Caller:
-    """Who sends a request.
+    """The client or team that sends a request.
 
     ``client_id`` is None for a team of the route table, which has no
-    clients of its own. ``rank`` goes before the rank of a route; without
-    ``homes`` any region may serve.
+    clients of its own. ``rank`` takes precedence over the rank of a route;
+    if ``homes`` is empty, any region may serve the request.
     """
 
     client_id: str | None = None
@@ -24,22 +28,22 @@
 
 
 def callers_by_token_hash(configuration: Configuration) -> dict[str, Caller]:
-    """Return every caller that a configuration lets in."""
+    """Return the callers of a configuration by the hash of their token."""
     callers = {
-        token_hash: _of_client(configuration, client_id)
+        token_hash: _caller_for_client(configuration, client_id)
         for token_hash, client_id in (
             configuration.client_ids_by_token_hash.items()
         )
     }
     table = configuration.route_table
     for team in (table.teams or ()) if table is not None else ():
-        caller = of_team(team)
+        caller = caller_for_team(team)
         callers.update(dict.fromkeys(team.token_hashes, caller))
     return callers
 
 
-def of_team(team: RouteTeam) -> Caller:
-    """Return the caller that stands for a team of the route table."""
+def caller_for_team(team: RouteTeam) -> Caller:
+    """Return the caller for a team of the route table."""
     return Caller(
         team=team.name,
         rank=team.rank,
@@ -48,7 +52,7 @@
     )
 
 
-def _of_client(configuration: Configuration, client_id: str) -> Caller:
+def _caller_for_client(configuration: Configuration, client_id: str) -> Caller:
     spec = configuration.clients_by_id[client_id]
     return Caller(
         client_id=client_id, team=spec.team, homes=tuple(spec.residency)
--- a/burdockdrum/callers/finding.py
+++ b/burdockdrum/callers/finding.py
@@ -1,8 +1,12 @@
-"""Find the caller that a token belongs to."""
+"""Authentication of a token against the current configuration.
+
+A partitioned entry may miss new or revoked tokens, so the age of the
+configuration decides whether a rejection is final or can be retried.
+"""
 
 from burdockdrum.callers.caller import Caller
+from burdockdrum.callers.caller import caller_for_team
 from burdockdrum.callers.caller import callers_by_token_hash
-from burdockdrum.callers.caller import of_team
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.resources import Configuration
 from burdockdrum.resources import hash_token
@@ -14,10 +18,11 @@
 
 
 class CallerFinder:
-    """Look callers up in the configuration in force.
+    """Looks up callers in the current configuration.
 
-    A refusal for good is given only while this VM is sure of what is in
-    force: otherwise the token may be one that it has not heard of yet.
+    An unknown token is rejected with a final error only if the
+    configuration is fresh; otherwise the token may be newer than it, and
+    the caller may retry.
     """
 
     def __init__(
@@ -27,12 +32,12 @@
         certain_seconds: float | None = None,
         strict_seconds: float | None = None,
     ) -> None:
-        """Create a finder over a configuration service.
+        """Create a finder that reads from a configuration service.
 
-        :param certain_seconds: how old what is known may be for a refusal
-            for good; None does not ask
-        :param strict_seconds: beyond this age no token is believed, as it
-            may have been taken away since; None always believes
+        :param certain_seconds: maximum age of the configuration at which an
+            unknown token gets a final rejection; None means no maximum
+        :param strict_seconds: maximum age at which tokens are accepted at
+            all, as they may have been revoked since; None means no maximum
         """
         self._configuration = configuration
         self._certain_seconds = certain_seconds
@@ -42,19 +47,20 @@
         self._by_team: dict[str, Caller] = {}
 
     def find(self, token: str | bytes | None) -> Caller:
-        """Return whose token it is.
+        """Return the caller that a token belongs to.
 
-        :raises Refusal: "not run", if it is nobody's, or may be somebody's
+        :raises Refusal: "not run", if the token is missing or unknown, or
+            the configuration is too old to tell
         """
         self._check_age()
-        self._index()
+        self._refresh_index()
         if token:
             caller = self._by_token_hash.get(hash_token(token))
             if caller is not None:
                 return caller
-        reason = "the token is no client's" if token else "there is no token"
+        reason = "unknown token" if token else "missing token"
         if not self.is_certain:
-            raise refuse_unsure(f"{reason} here, which may be out of date")
+            raise refuse_unsure(f"{reason}; the configuration may be stale")
         raise Refusal(
             code=RefusalCode.UNAUTHENTICATED,
             message=reason,
@@ -62,53 +68,55 @@
         )
 
     def find_team(self, name: str) -> Caller:
-        """Return a team that another VM has found by a token.
+        """Return the caller of a team that another VM has authenticated.
 
-        :raises Refusal: "not run", if this VM does not know the team
+        :raises Refusal: "not run", if the team is not in the configuration
         """
-        self._index()
+        self._refresh_index()
         caller = self._by_team.get(name)
         if caller is None:
-            raise refuse_unsure(f"team {name!r} is not known")
+            raise refuse_unsure(
+                f"unknown team {name!r}; the configuration may be stale"
+            )
         return caller
 
     @property
     def callers_by_team(self) -> dict[str, Caller]:
-        """Return the teams of the route table by name."""
-        self._index()
+        """Return the callers of the route table's teams by team name."""
+        self._refresh_index()
         return self._by_team
 
     @property
     def is_certain(self) -> bool:
-        """Say whether what is known is new enough to refuse for good."""
-        return self._is_within(self._certain_seconds)
+        """Return whether the configuration is fresh enough to reject."""
+        return self._is_fresh(self._certain_seconds)
 
     def _check_age(self) -> None:
-        if not self._is_within(self._strict_seconds):
+        if not self._is_fresh(self._strict_seconds):
             raise refuse_unsure(
-                "tokens may have been taken away since the configuration "
-                "was last known to be the newest"
+                "the configuration is too old to accept tokens, which may "
+                "have been revoked since"
             )
 
-    def _is_within(self, seconds: float | None) -> bool:
-        if seconds is None:
+    def _is_fresh(self, max_age: float | None) -> bool:
+        if max_age is None:
             return True
         age = self._configuration.age
-        return age is not None and age <= seconds
+        return age is not None and age <= max_age
 
-    def _index(self) -> None:
+    def _refresh_index(self) -> None:
         current = self._configuration.current
         if current is self._indexed:
             return
         table = current.route_table
         teams = (table.teams or []) if table is not None else []
         self._by_token_hash = callers_by_token_hash(current)
-        self._by_team = {team.name: of_team(team) for team in teams}
+        self._by_team = {team.name: caller_for_team(team) for team in teams}
         self._indexed = current
 
 
 def refuse_unsure(message: str) -> Refusal:
-    """Return the refusal of a VM that may know too little."""
+    """Return a retryable refusal due to a possibly stale configuration."""
     return Refusal(
         code=RefusalCode.CONFIGURATION_STALE,
         message=message,
--- a/burdockdrum/callers/routes.py
+++ b/burdockdrum/callers/routes.py
@@ -1,4 +1,8 @@
-"""A route as it holds for one caller."""
+"""Applies a caller's rank and home regions to a route.
+
+Both the route and the team may restrict the regions and set a rank; the
+result is a route that satisfies both.
+"""
 
 import msgspec
 
@@ -8,29 +12,33 @@
 
 
 class NoCommonHome(Exception):
-    """A route and a team are kept to regions that have none in common."""
+    """The home regions of a route and of a team don't intersect."""
 
 
 def route_for(caller: Caller | None, route: Route, ranks: RankOrder) -> Route:
-    """Return a route with the rank and the homes that bind a caller.
+    """Return a route with the rank and the home regions for a caller.
 
-    :param caller: None for a route that everyone may use
-    :raises NoCommonHome: if no region may serve it
+    :param caller: None for a route that needs no authentication
+    :raises NoCommonHome: if no region may serve the request
     """
     rank = ranks.find(caller.rank if caller else None, route.rank)
-    homes = _common(route.homes, list(caller.homes) if caller else [])
+    homes = _intersect_regions(
+        route.homes, list(caller.homes) if caller else []
+    )
     if rank == route.rank and homes == route.homes:
         return route
     return msgspec.structs.replace(route, rank=rank, homes=homes)
 
 
-def _common(first: list[str], second: list[str]) -> list[str]:
-    if not first or not second:
-        return first or second
-    common = [home for home in first if home in second]
+def _intersect_regions(
+    route_homes: list[str], team_homes: list[str]
+) -> list[str]:
+    if not route_homes or not team_homes:
+        return route_homes or team_homes
+    common = [home for home in route_homes if home in team_homes]
     if not common:
         raise NoCommonHome(
-            f"the route is kept to {', '.join(first)}, the team to "
-            f"{', '.join(second)}"
+            f"the route is kept to {', '.join(route_homes)}, the team to "
+            f"{', '.join(team_homes)}"
         )
     return common
--- a/burdockdrum/callers/services.py
+++ b/burdockdrum/callers/services.py
@@ -1,4 +1,4 @@
-"""Name the services of this package."""
+"""Registers the services of this package."""
 
 from burdockdrum.callers.finding import CallerFinder
 from burdockdrum.configuration import ConfigurationService
@@ -7,7 +7,7 @@
 
 
 def add_services(kernel: Kernel) -> None:
-    """Name what finds the caller of a token."""
+    """Register the finder of callers."""
     kernel.add("callers", _build_finder)
 
 
--- a/tests/callers/__init__.py
+++ b/tests/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of finding out who calls."""
+"""Tests of the authentication of callers."""
--- a/tests/callers/test_finding.py
+++ b/tests/callers/test_finding.py
@@ -1,4 +1,4 @@
-"""Tests of finding the caller that a token belongs to."""
+"""Tests of the lookup of callers by token."""
 
 import unittest
 
@@ -25,14 +25,14 @@
         )
         self.finder = make_finder(self.configuration)
 
-    def refuse(self, token):
-        """Return the refusal that a token gets."""
+    def find_refused(self, token):
+        """Return the refusal for a token."""
         with self.assertRaises(Refusal) as caught:
             self.finder.find(token)
         self.assertIs(Verdict.NOT_RUN, caught.exception.verdict)
         return caught.exception
 
-    def test_each_token_stands_for_its_team(self):
+    def test_token_is_mapped_to_its_team(self):
         for token in ("a1", b"a2"):
             caller = self.finder.find(token)
             self.assertEqual(
@@ -40,8 +40,8 @@
             )
         self.assertEqual(("north",), self.finder.find(b"b1").homes)
 
-    def test_whatever_is_no_token_is_refused(self):
-        odd = (
+    def test_missing_or_malformed_token_is_unauthenticated(self):
+        invalid = (
             None,
             "",
             b"",
@@ -51,41 +51,43 @@
             b"\xff\xfe",
             b"k" * 4096,
         )
-        for token in odd:
+        for token in invalid:
             with self.subTest(token=token):
-                code = self.refuse(token).code
+                code = self.find_refused(token).code
                 self.assertIs(RefusalCode.UNAUTHENTICATED, code)
 
-    def test_refusal_does_not_tell_the_token(self):
-        self.assertNotIn("secret", self.refuse("secret-token").message)
+    def test_refusal_message_does_not_contain_the_token(self):
+        self.assertNotIn("secret", self.find_refused("secret-token").message)
 
-    def test_no_refusal_for_good_by_old_knowledge(self):
-        """A token may be newer than what an entry that was cut off knows."""
+    def test_unknown_token_is_retryable_if_configuration_is_stale(self):
+        """A new token gets a final rejection from a partitioned entry."""
         for age in (CERTAIN_SECONDS + 0.1, None):
             self.configuration.age = age
-            refusal = self.refuse("new")
+            refusal = self.find_refused("new")
             self.assertIs(RefusalCode.CONFIGURATION_STALE, refusal.code)
             self.assertIsNotNone(refusal.retry_after)
             self.assertEqual("a", self.finder.find("a1").team)
 
-    def test_strict_finder_believes_nothing_by_old_knowledge(self):
-        """A token that was taken away works on at an entry cut off."""
+    def test_strict_finder_accepts_no_token_if_configuration_is_stale(self):
+        """A partitioned entry keeps accepting a revoked token."""
         self.finder = make_finder(self.configuration, strict_seconds=5.0)
         self.assertEqual("a", self.finder.find("a1").team)
         for age in (5.1, None):
             self.configuration.age = age
-            code = self.refuse("a1").code
+            code = self.find_refused("a1").code
             self.assertIs(RefusalCode.CONFIGURATION_STALE, code)
 
-    def test_token_moves_with_the_configuration(self):
+    def test_new_configuration_replaces_tokens(self):
         self.configuration.bring(
             teams=[make_team("a", "a2"), make_team("b", "a1")], generation=2
         )
         self.assertEqual("b", self.finder.find("a1").team)
-        self.assertIs(RefusalCode.UNAUTHENTICATED, self.refuse("b1").code)
+        self.assertIs(
+            RefusalCode.UNAUTHENTICATED, self.find_refused("b1").code
+        )
 
-    def test_unknown_team_of_another_entry_is_not_refused_for_good(self):
-        """The first entry may know a newer table than the second."""
+    def test_unknown_team_of_forwarded_request_is_retryable(self):
+        """An entry with an older table finally rejects a forwarded request."""
         self.assertEqual("b", self.finder.find_team("b").team)
         with self.assertRaises(Refusal) as caught:
             self.finder.find_team("new")
