--- a/burdockdrum/passthrough/attempts.py
+++ b/burdockdrum/passthrough/attempts.py
@@ -1,4 +1,8 @@
-"""One attempt: at an endpoint here, or through an entry elsewhere."""
+"""Run a single attempt of a request.
+
+An attempt goes to an endpoint of this region, or is forwarded to an entry VM
+of another region.
+"""
 
 import asyncio
 
@@ -10,7 +14,7 @@
 from burdockdrum.http1 import ResponseLost
 from burdockdrum.logs import log_decision
 from burdockdrum.passthrough.calls import Call
-from burdockdrum.passthrough.calls import CallsUnderWay
+from burdockdrum.passthrough.calls import InFlightCalls
 from burdockdrum.passthrough.events import BrokenEvents
 from burdockdrum.passthrough.events import EventCutter
 from burdockdrum.passthrough.fleet import Fleet
@@ -34,19 +38,18 @@
 from burdockdrum.passthrough.responses import ResponseReader
 from burdockdrum.ports import Clock
 
-# Within a region a connection opens in a few milliseconds; a packet that
-# was lost is sent again after a second.
-CONNECT_SECONDS = 0.4
-# To another region it takes 110 ms.
-HOP_CONNECT_SECONDS = 0.6
-# There and back between two regions, and the hop's own work.
-HOP_SECONDS = 0.12
-# An endpoint's own answer at the deadline is on its way by then.
-GRACE_SECONDS = 0.05
+# Shorter than the one-second TCP retransmission timeout: after a lost packet
+# a new connection is faster than the retransmission.
+CONNECT_TIMEOUT_SECONDS = 0.4
+HOP_CONNECT_TIMEOUT_SECONDS = 0.6
+# Round trip between two regions, plus the processing at the other entry VM.
+HOP_DELAY_SECONDS = 0.12
+# Lets a response that the endpoint sent at the deadline still arrive.
+DEADLINE_GRACE_SECONDS = 0.05
 
 
 class Attempts:
-    """Make attempts and say what became of each."""
+    """Runs attempts and reports the outcome of each."""
 
     def __init__(
         self,
@@ -59,7 +62,7 @@
         responses: ResponseReader,
         patience: Patience,
     ) -> None:
-        """Create it over the pools of connections."""
+        """Create the runner with its connection pools and collaborators."""
         self._patience = patience
         self._clock = clock
         self._fleet = fleet
@@ -67,14 +70,15 @@
         self._vm_pool = vm_pool
         self._payloads = payloads
         self._responses = responses
-        self._under_way = CallsUnderWay()
+        self._in_flight = InFlightCalls()
 
     def end_start(self, endpoint_id: str) -> None:
-        """Give up what runs at a start of an endpoint that is over.
+        """Abort the attempts at a previous incarnation of an endpoint.
 
-        Its connections may stay open in the kernel after a loss of power.
+        After a power loss its connections can stay open in the kernel, so
+        that waiting for an error would take until the deadline.
         """
-        number = self._under_way.give_up_all(
+        number = self._in_flight.abort_all(
             endpoint_id, "the endpoint started again"
         )
         if number:
@@ -90,21 +94,22 @@
         exchange: Exchange,
         cutter: EventCutter,
     ) -> Outcome:
-        """Make an attempt and pass its answer on.
+        """Run an attempt and forward its response to the caller.
 
-        :raises AnswerCut: if the answer broke off and can't go on
+        :raises AnswerCut: if the response broke off after it had been
+            partly forwarded and cannot be resumed
         """
         match place:
             case EndpointPlace():
-                return await self._at_endpoint(
+                return await self._send_to_endpoint(
                     place, request, progress, exchange, cutter
                 )
             case RegionPlace():
-                return await self._through_region(
+                return await self._forward_to_region(
                     place, request, progress, exchange, cutter
                 )
 
-    async def _at_endpoint(
+    async def _send_to_endpoint(
         self,
         place: EndpointPlace,
         request: PassedRequest,
@@ -127,26 +132,26 @@
             pool=self._endpoint_pool,
             address=endpoint.address,
             payload=payload,
-            connect_seconds=CONNECT_SECONDS,
+            connect_timeout_seconds=CONNECT_TIMEOUT_SECONDS,
             place=place,
             placement=placement,
         )
         outcome: Outcome | None = None
         try:
-            self._under_way.add(endpoint.endpoint_id, call)
+            self._in_flight.add(endpoint.endpoint_id, call)
             outcome = await self._call(
                 call, request, progress, exchange, cutter
             )
             return outcome
         finally:
-            self._under_way.remove(endpoint.endpoint_id, call)
+            self._in_flight.remove(endpoint.endpoint_id, call)
             whole = isinstance(outcome, Delivered)
             self._fleet.end(placement, request.backend, whole=whole)
-            self._judge(self._fleet.health_of(endpoint), outcome)
+            self._record_outcome(self._fleet.health_of(endpoint), outcome)
             if isinstance(outcome, NotStarted) and outcome.replaced:
-                self._fleet.drop(endpoint)
+                self._fleet.remove_incarnation(endpoint)
 
-    async def _through_region(
+    async def _forward_to_region(
         self,
         place: RegionPlace,
         request: PassedRequest,
@@ -164,15 +169,15 @@
             pool=self._vm_pool,
             address=place.address,
             payload=payload,
-            connect_seconds=HOP_CONNECT_SECONDS,
+            connect_timeout_seconds=HOP_CONNECT_TIMEOUT_SECONDS,
             place=place,
         )
         began = self._clock.monotonic()
         outcome = await self._call(call, request, progress, exchange, cutter)
         if isinstance(outcome, Delivered):
-            # An entry without endpoints of its own learns it from these.
-            seconds = self._clock.monotonic() - began - HOP_SECONDS
-            self._fleet.note_run(request.backend.name, max(0.0, seconds))
+            # An entry VM without local endpoints has no other samples.
+            seconds = self._clock.monotonic() - began - HOP_DELAY_SECONDS
+            self._fleet.record_run(request.backend.name, max(0.0, seconds))
         return outcome
 
     async def _call(
@@ -185,37 +190,40 @@
     ) -> Outcome:
         try:
             connection = await call.pool.take(
-                call.address, timeout=call.connect_seconds
+                call.address, timeout=call.connect_timeout_seconds
             )
         except NotConnected as error:
             return NotStarted(reason=str(error), reached=False)
-        left = self._seconds_left(request) + GRACE_SECONDS
-        if left <= GRACE_SECONDS:
+        left = self._seconds_left(request) + DEADLINE_GRACE_SECONDS
+        if left <= DEADLINE_GRACE_SECONDS:
             call.pool.give_back(call.address, connection)
-            return NotStarted(reason="no time was left", reached=False)
+            return NotStarted(
+                reason="the deadline passed before the request was sent",
+                reached=False,
+            )
         progress.sent += 1
         began = self._clock.monotonic()
         try:
             connection.send(call.payload, request.request_id.encode())
             async with asyncio.timeout(left) as call.timeout:
-                call.watch = self._patience.watch(
-                    call.place, request, progress, call.give_up
+                call.watchdog = self._patience.start_watchdog(
+                    call.place, request, progress, call.abort
                 )
                 return await self._receive(
                     connection, call, request, progress, exchange, cutter
                 )
         except TimeoutError:
-            if call.given_up_because is not None:
+            if call.abort_reason is not None:
                 waited = self._clock.monotonic() - began
-                reason = f"{call.given_up_because} after {waited:.2f} s"
+                reason = f"{call.abort_reason} after {waited:.2f} s"
                 return Lost(reason=reason)
             return Lost(reason="the deadline has passed", timed_out=True)
         except (ResponseLost, BrokenEvents) as error:
             return Lost(reason=str(error))
         finally:
-            call.stop_watching()
-            # One whose response was not read to its end is closed, and
-            # what runs at the other side ends.
+            call.disarm_watchdog()
+            # The pool closes a connection whose response was not read to its
+            # end, which cancels the request at the other side.
             call.pool.give_back(call.address, connection)
 
     async def _receive(
@@ -228,21 +236,21 @@
         cutter: EventCutter,
     ) -> Outcome:
         head = await connection.read_head()
-        judged = self._responses.judge(head)
-        if judged is not None:
+        failure = self._responses.judge(head)
+        if failure is not None:
             await read_small(connection)
-            return judged
+            return failure
         if head.status >= 300:
             body = await read_small(connection)
             return Answered(head=head, body=body, runs=read_runs(head) or 1)
         if request.route.streams:
-            return await self._pass_stream(
+            return await self._forward_stream(
                 connection, head, call, request, progress, exchange, cutter
             )
-        call.stop_watching()
-        return await self._pass_whole(connection, head, exchange)
+        call.disarm_watchdog()
+        return await self._forward_response(connection, head, exchange)
 
-    async def _pass_whole(
+    async def _forward_response(
         self,
         connection: ClientConnection,
         head: ResponseHead,
@@ -256,15 +264,15 @@
         exchange.start(head.status, headers)
         exchange.write(body)
         try:
-            while (part := await connection.read_part()) is not None:
-                exchange.write(part)
+            while (chunk := await connection.read_part()) is not None:
+                exchange.write(chunk)
                 await exchange.drain()
         except ResponseLost as error:
             raise AnswerCut(str(error)) from error
         exchange.finish()
         return Delivered(status=head.status)
 
-    async def _pass_stream(
+    async def _forward_stream(
         self,
         connection: ClientConnection,
         head: ResponseHead,
@@ -275,14 +283,14 @@
         cutter: EventCutter,
     ) -> Outcome:
         cutter.begin_run()
-        while (part := await connection.read_part()) is not None:
-            if call.watch is not None:
-                call.watch.note_part()
+        while (chunk := await connection.read_part()) is not None:
+            if call.watchdog is not None:
+                call.watchdog.record_chunk()
             if call.placement is not None:
                 self._fleet.note_output(call.placement)
-            events = cutter.feed(part)
+            events = cutter.feed(chunk)
             if events:
-                progress.note_part(self._clock.monotonic())
+                progress.record_chunk(self._clock.monotonic())
                 self._start_stream(exchange, head)
                 exchange.write(events)
                 await exchange.drain()
@@ -293,8 +301,8 @@
         return Delivered(status=head.status)
 
     def _start_stream(self, exchange: Exchange, head: ResponseHead) -> None:
-        # Not before the first event: until then another endpoint can give
-        # the answer, its head included.
+        # Until the first event another endpoint can still provide the whole
+        # response, its head included.
         if not exchange.started:
             headers = self._responses.headers_for_caller(head)
             exchange.start(head.status, headers)
@@ -302,7 +310,9 @@
     def _seconds_left(self, request: PassedRequest) -> float:
         return request.deadline - self._clock.monotonic()
 
-    def _judge(self, health: EndpointHealth, outcome: Outcome | None) -> None:
+    def _record_outcome(
+        self, health: EndpointHealth, outcome: Outcome | None
+    ) -> None:
         now = self._clock.monotonic()
         if isinstance(outcome, Delivered | Answered):
             health.note_reached(now)
@@ -316,14 +326,14 @@
             case Lost(timed_out=False):
                 health.note_loss(now)
             case _:
-                health.note_neutral()
+                health.record_neutral()
 
 
 def handed_attempts(request: PassedRequest, progress: Progress) -> int:
-    """Return how many endpoints another region may run a request at.
+    """Return how many attempts another region may make for a request.
 
-    A stream that breaks off on its way back may have used them all; it goes
-    on from here only if one was handed over and not every one.
+    A stream that breaks off on its way back may have used all of them; this
+    entry VM can only resume it if it forwarded one and kept the others.
     """
     if request.route.streams:
         return 1
--- a/burdockdrum/passthrough/calls.py
+++ b/burdockdrum/passthrough/calls.py
@@ -1,15 +1,15 @@
-"""The calls that attempts make, while they are under way."""
+"""In-flight calls of attempts, and how to abort them."""
 
 import asyncio
 
 from burdockdrum.http1 import ConnectionPool
 from burdockdrum.passthrough.model import Place
-from burdockdrum.passthrough.patience import SilenceWatch
+from burdockdrum.passthrough.patience import AttemptWatchdog
 from burdockdrum.passthrough.tracks import Placement
 
 
 class Call:
-    """Where an attempt goes, with which bytes, and how it is given up."""
+    """The target and payload of an attempt, with its abort handle."""
 
     def __init__(
         self,
@@ -17,57 +17,57 @@
         pool: ConnectionPool,
         address: str,
         payload: bytes,
-        connect_seconds: float,
+        connect_timeout_seconds: float,
         place: Place,
         placement: Placement | None = None,
     ) -> None:
-        """Create a call that has not been sent."""
+        """Create a call that has not been sent yet."""
         self.pool = pool
         self.address = address
         self.payload = payload
-        self.connect_seconds = connect_seconds
+        self.connect_timeout_seconds = connect_timeout_seconds
         self.place = place
         self.placement = placement
-        self.watch: SilenceWatch | None = None
+        self.watchdog: AttemptWatchdog | None = None
         self.timeout: asyncio.Timeout | None = None
-        self.given_up_because: str | None = None
+        self.abort_reason: str | None = None
 
-    def stop_watching(self) -> None:
-        """Wait until the deadline from now on."""
-        if self.watch is not None:
-            self.watch.stop()
-            self.watch = None
+    def disarm_watchdog(self) -> None:
+        """Stop the watchdog; only the deadline limits the call then."""
+        if self.watchdog is not None:
+            self.watchdog.stop()
+            self.watchdog = None
 
-    def give_up(self, reason: str) -> None:
-        """Wait no longer; the connection is closed."""
+    def abort(self, reason: str) -> None:
+        """Time the call out now, which closes its connection."""
         if self.timeout is None:
             return
-        self.given_up_because = self.given_up_because or reason
-        # Any moment that has passed: it ends with the loop's next turn.
+        self.abort_reason = self.abort_reason or reason
+        # A time in the past expires in the next iteration of the event loop.
         self.timeout.reschedule(0.0)
 
 
-class CallsUnderWay:
-    """The calls that were sent, by the endpoint's start."""
+class InFlightCalls:
+    """In-flight calls by endpoint id, which identifies an incarnation."""
 
     def __init__(self) -> None:
-        """Know of none."""
+        """Create an empty table."""
         self._calls_by_id: dict[str, set[Call]] = {}
 
     def add(self, endpoint_id: str, call: Call) -> None:
-        """Take note of a call."""
+        """Add a call."""
         self._calls_by_id.setdefault(endpoint_id, set()).add(call)
 
     def remove(self, endpoint_id: str, call: Call) -> None:
-        """Forget a call that has ended."""
+        """Remove a call that has ended."""
         calls = self._calls_by_id.get(endpoint_id, set())
         calls.discard(call)
         if not calls:
             self._calls_by_id.pop(endpoint_id, None)
 
-    def give_up_all(self, endpoint_id: str, reason: str) -> int:
-        """Give up every call at a start of an endpoint; return how many."""
+    def abort_all(self, endpoint_id: str, reason: str) -> int:
+        """Abort every call to an endpoint; return how many there were."""
         calls = list(self._calls_by_id.get(endpoint_id, ()))
         for call in calls:
-            call.give_up(reason)
+            call.abort(reason)
         return len(calls)
--- a/burdockdrum/passthrough/engines.py
+++ b/burdockdrum/passthrough/engines.py
@@ -1,7 +1,7 @@
-"""How fast the engines of a service read and write, as observed.
+"""Estimate prefill, decode and transfer times of a service's engines.
 
-Nothing here is an engine's figure but a prior, which the first dozen
-observations of a size replace.
+The estimates start from a prior and are fitted to the times that this entry
+VM observes, so that no engine's speed has to be configured.
 """
 
 from dataclasses import dataclass
@@ -14,196 +14,210 @@
 from burdockdrum.passthrough.prompts import Prompt
 from burdockdrum.settings import MechanismSettings
 
-# Until anything was observed: a mid-size model on one server (a dense model
-# of 70 billion parameters on four accelerators). The first part takes a few
-# steps, reading a prompt a time for each token and for each pair of tokens.
-# It is no slower than engines usually are: what is expected to be late is
-# refused, and after a full stop nothing has been observed yet.
-PRIOR_FIRST_SECONDS = 0.02
-PRIOR_TOKEN_SECONDS = 1 / 85_000
-PRIOR_PAIR_SECONDS = 2.75e-10
-# A step that writes a token for each running request; one that also reads a
-# part of a prompt, as an engine does while any waits to be read.
-PRIOR_STEP_SECONDS = 0.0035
-PRIOR_READING_STEP_SECONDS = 0.024
-# Fetching takes a moment to begin, and longer than the link's speed says:
-# transfers of an endpoint come one after the other.
+# Prior for a dense model of 70 billion parameters on four accelerators. The
+# time to first token grows with the prompt's tokens and, for attention, with
+# its pairs of tokens. The prior must not be pessimistic: requests that are
+# expected to be late are refused, and after a restart there are no samples yet
+# to correct the estimates.
+PRIOR_FIRST_TOKEN_SECONDS = 0.02
+PRIOR_PREFILL_TOKEN_SECONDS = 1 / 85_000
+PRIOR_PREFILL_PAIR_SECONDS = 2.75e-10
+# A decode step generates one token for each running request. A step that also
+# prefills a chunk of a prompt takes this much longer.
+PRIOR_DECODE_STEP_SECONDS = 0.0035
+PRIOR_PREFILL_STEP_SECONDS = 0.024
+# Setup time of a fetch, and how much longer it takes than the link's nominal
+# speed says: the transfers of an endpoint are serialized.
 PRIOR_FETCH_SECONDS = 0.01
-PRIOR_FETCH_TIMES = 1.5
-# From another region it takes some round trips of 110 ms more. They are
-# learned apart from those within a region.
-PRIOR_FAR_FETCH_SECONDS = 0.25
-# Sizes are told apart by powers of two of the tokens that are read, from
-# 2**7; nobody sends more than 2**17.
-_FIRST_POWER = 7
-_LAST_POWER = 17
-# Fetches by powers of two of the milliseconds over the link, up to a second.
-_LAST_FETCH_POWER = 10
-# Shares of the time that an engine reads, told apart in fifths.
-_BUSY_PARTS = 5
-# What an endpoint differs by from its service is believed after so many
-# observations; each one moves it by a tenth at most.
-_ENDPOINT_OBSERVATIONS = 6.0
-_ENDPOINT_GAIN = 0.1
-_MAX_STEP = math.log(2.0)
-# An endpoint that differs by more from the usual one is not asked for what
-# is usual: it may be the one that is failing.
-_ODD = math.log(1.6)
-
-
-# The places of features that are never free: a token that is read, a step
-# without a prompt to read beside it, and the time over the link.
-_TOKENS = 1
-_STEP = 0
-_LINK = 1
-
-
-def _reading_features(tokens: float, pairs: float) -> Features:
+PRIOR_FETCH_FACTOR = 1.5
+# A fetch from another region needs more round trips; these have a curve of
+# their own.
+PRIOR_REMOTE_FETCH_SECONDS = 0.25
+# Prefill observations are bucketed by powers of two of the number of tokens.
+_MIN_POWER = 7
+_MAX_POWER = 17
+# Fetches are bucketed by powers of two of the link's milliseconds.
+_MAX_FETCH_POWER = 10
+# Decode observations are bucketed by the share of time spent on prefill.
+_PREFILL_SHARE_BUCKETS = 5
+# Number of observations after which half of an endpoint's deviation from its
+# service is trusted; the least gain of a later observation; and its limit.
+_HALF_TRUST_OBSERVATIONS = 6.0
+_MIN_ENDPOINT_GAIN = 0.1
+_MAX_UPDATE = math.log(2.0)
+# Endpoints that deviate by more than this from the median don't contribute to
+# the service's curve: one failing endpoint must not slow the estimates down.
+_MAX_TYPICAL_DEVIATION = math.log(1.6)
+
+
+# Indexes of the features whose coefficient must be positive: the prefill of a
+# token, the decode step itself, and the time over the link.
+_TOKEN_FEATURE = 1
+_STEP_FEATURE = 0
+_LINK_FEATURE = 1
+
+
+def _prefill_features(tokens: float, pairs: float) -> Features:
     return (1.0, tokens, pairs)
 
 
-def count_pairs(prompt: Prompt, unread_tokens: int) -> float:
-    """Return how many pairs of tokens reading the last ones looks at."""
-    held = max(0, prompt.tokens - unread_tokens)
-    return (prompt.tokens**2 - held**2) / 2
+def count_attention_pairs(prompt: Prompt, unread_tokens: int) -> float:
+    """Return how many pairs of tokens attention covers in a prefill.
 
+    :param unread_tokens: tokens at the end of the prompt to be prefilled
+    """
+    cached = max(0, prompt.tokens - unread_tokens)
+    return (prompt.tokens**2 - cached**2) / 2
 
-def _reading_prior() -> dict[int, tuple[Features, float]]:
+
+def _prefill_prior() -> dict[int, tuple[Features, float]]:
     prior: dict[int, tuple[Features, float]] = {}
-    for power in range(_FIRST_POWER, _LAST_POWER + 1):
+    for power in range(_MIN_POWER, _MAX_POWER + 1):
         tokens = float(2**power)
         pairs = tokens * tokens / 2
         seconds = (
-            PRIOR_FIRST_SECONDS
-            + tokens * PRIOR_TOKEN_SECONDS
-            + pairs * PRIOR_PAIR_SECONDS
+            PRIOR_FIRST_TOKEN_SECONDS
+            + tokens * PRIOR_PREFILL_TOKEN_SECONDS
+            + pairs * PRIOR_PREFILL_PAIR_SECONDS
         )
-        prior[power] = (_reading_features(tokens, pairs), seconds)
+        prior[power] = (_prefill_features(tokens, pairs), seconds)
     return prior
 
 
-def _writing_prior() -> dict[int, tuple[Features, float]]:
+def _decode_prior() -> dict[int, tuple[Features, float]]:
     prior: dict[int, tuple[Features, float]] = {}
-    for part in range(_BUSY_PARTS):
-        busy = (part + 0.5) / _BUSY_PARTS
-        seconds = PRIOR_STEP_SECONDS + busy * PRIOR_READING_STEP_SECONDS
-        prior[part] = ((1.0, busy), seconds)
+    for bucket in range(_PREFILL_SHARE_BUCKETS):
+        prefill_share = (bucket + 0.5) / _PREFILL_SHARE_BUCKETS
+        seconds = (
+            PRIOR_DECODE_STEP_SECONDS
+            + prefill_share * PRIOR_PREFILL_STEP_SECONDS
+        )
+        prior[bucket] = ((1.0, prefill_share), seconds)
     return prior
 
 
-def _fetching_prior(begin: float) -> dict[int, tuple[Features, float]]:
+def _fetching_prior(setup_seconds: float) -> dict[int, tuple[Features, float]]:
     prior: dict[int, tuple[Features, float]] = {}
-    for power in range(_LAST_FETCH_POWER + 1):
+    for power in range(_MAX_FETCH_POWER + 1):
         link = 2**power / 1000
-        seconds = begin + link * PRIOR_FETCH_TIMES
+        seconds = setup_seconds + link * PRIOR_FETCH_FACTOR
         prior[power] = ((1.0, link), seconds)
     return prior
 
 
 @dataclass(kw_only=True)
-class _Difference:
-    """The logarithm of what one endpoint takes against its service."""
+class _EndpointDeviation:
+    """Log ratio of one endpoint's times to the service's estimates."""
 
     value: float = 0.0
     observations: int = 0
 
-    def take(self, ratio: float) -> None:
+    def update(self, ratio: float) -> None:
         step = math.log(ratio) - self.value
-        step = max(-_MAX_STEP, min(_MAX_STEP, step))
+        step = max(-_MAX_UPDATE, min(_MAX_UPDATE, step))
         self.observations += 1
-        self.value += step * max(_ENDPOINT_GAIN, 1 / self.observations)
+        self.value += step * max(_MIN_ENDPOINT_GAIN, 1 / self.observations)
 
-    def factor(self, usual: float) -> float:
+    def factor(self, median: float) -> float:
         count = self.observations
-        trust = count / (count + _ENDPOINT_OBSERVATIONS)
-        return math.exp((self.value - usual) * trust)
+        trust = count / (count + _HALF_TRUST_OBSERVATIONS)
+        return math.exp((self.value - median) * trust)
 
 
 @dataclass(kw_only=True)
-class _ServiceView:
-    reading: ObservedCurve = field(
+class _ServiceCurves:
+    prefill: ObservedCurve = field(
         default_factory=lambda: ObservedCurve(
-            prior=_reading_prior(), needed=_TOKENS
+            prior=_prefill_prior(), required_feature=_TOKEN_FEATURE
         )
     )
-    writing: ObservedCurve = field(
+    decode: ObservedCurve = field(
         default_factory=lambda: ObservedCurve(
-            prior=_writing_prior(), needed=_STEP
+            prior=_decode_prior(), required_feature=_STEP_FEATURE
         )
     )
     fetching: ObservedCurve = field(
         default_factory=lambda: ObservedCurve(
-            prior=_fetching_prior(PRIOR_FETCH_SECONDS), needed=_LINK
+            prior=_fetching_prior(PRIOR_FETCH_SECONDS),
+            required_feature=_LINK_FEATURE,
         )
     )
-    far_fetching: ObservedCurve = field(
+    remote_fetching: ObservedCurve = field(
         default_factory=lambda: ObservedCurve(
-            prior=_fetching_prior(PRIOR_FAR_FETCH_SECONDS), needed=_LINK
+            prior=_fetching_prior(PRIOR_REMOTE_FETCH_SECONDS),
+            required_feature=_LINK_FEATURE,
         )
     )
-    differences_by_id: dict[str, _Difference] = field(default_factory=dict)
-    usual_difference: float = 0.0
+    deviations_by_id: dict[str, _EndpointDeviation] = field(
+        default_factory=dict
+    )
+    median_deviation: float = 0.0
 
-    def take_difference(self, endpoint_id: str, ratio: float) -> float:
-        """Take in one; return how far the endpoint is from the usual one."""
-        difference = self.differences_by_id.setdefault(
-            endpoint_id, _Difference()
+    def record_ratio(self, endpoint_id: str, ratio: float) -> float:
+        """Record a ratio; return the endpoint's deviation from the median."""
+        deviation = self.deviations_by_id.setdefault(
+            endpoint_id, _EndpointDeviation()
         )
-        difference.take(ratio)
-        values = sorted(d.value for d in self.differences_by_id.values())
-        self.usual_difference = values[len(values) // 2]
-        return difference.value - self.usual_difference
+        deviation.update(ratio)
+        values = sorted(d.value for d in self.deviations_by_id.values())
+        self.median_deviation = values[len(values) // 2]
+        return deviation.value - self.median_deviation
 
 
 class Engines:
-    """What this entry has seen of each service's engines."""
+    """Engine speeds by service, as observed by this entry VM."""
 
     def __init__(self, *, mechanisms: MechanismSettings | None = None) -> None:
-        """Know the prior only."""
+        """Start from the prior.
+
+        :param mechanisms: the enabled parts of the policy; default all
+        """
         self._mechanisms = mechanisms or MechanismSettings()
-        self._views_by_service: dict[str, _ServiceView] = {}
+        self._curves_by_service: dict[str, _ServiceCurves] = {}
 
     def first_seconds(self, service: str) -> float:
-        """Return what the first part takes with nothing to read."""
-        return self._view(service).reading.coefficients[0]
+        """Return the time to first token of a fully cached prompt."""
+        return self._curves(service).prefill.coefficients[0]
 
     def token_seconds(self, service: str) -> float:
-        """Return what each further token of a prompt takes to read."""
-        return self._view(service).reading.coefficients[1]
+        """Return the prefill time of a token, without attention pairs."""
+        return self._curves(service).prefill.coefficients[1]
 
     def reading_seconds(
         self, service: str, prompt: Prompt, unread_tokens: int
     ) -> float:
-        """Return how long it takes to read the last tokens of a prompt."""
-        features = _reading_features(
-            unread_tokens, count_pairs(prompt, unread_tokens)
+        """Return the prefill time of the last tokens of a prompt."""
+        features = _prefill_features(
+            unread_tokens, count_attention_pairs(prompt, unread_tokens)
         )
-        curve = self._view(service).reading
+        curve = self._curves(service).prefill
         return curve.seconds(features) - curve.coefficients[0]
 
-    def step_seconds(self, service: str, busy: float) -> float:
-        """Return how long an engine takes to write a token for everyone.
+    def step_seconds(self, service: str, prefill_share: float) -> float:
+        """Return the time of a decode step.
 
-        :param busy: the share of its time in which it also reads prompts
+        :param prefill_share: share of the engine's time spent on prefill
         """
-        return self._view(service).writing.seconds((1.0, min(1.0, busy)))
+        return self._curves(service).decode.seconds(
+            (1.0, min(1.0, prefill_share))
+        )
 
     def fetch_seconds(self, service: str, fetch: Fetch | None) -> float:
-        """Return how long it takes to fetch a beginning, if one is."""
+        """Return the time to fetch a cached prefix, 0 without a fetch."""
         if fetch is None:
             return 0.0
         curve = self._fetch_curve(service, fetch)
         return curve.seconds((1.0, fetch.link_seconds))
 
-    def factor(self, service: str, endpoint_id: str) -> float:
-        """Return how many times as long an endpoint takes as is usual."""
-        view = self._view(service)
-        difference = view.differences_by_id.get(endpoint_id)
-        if difference is None or not self._mechanisms.endpoint_speeds:
+    def time_factor(self, service: str, endpoint_id: str) -> float:
+        """Return an endpoint's times as a multiple of the service's."""
+        curves = self._curves(service)
+        deviation = curves.deviations_by_id.get(endpoint_id)
+        if deviation is None or not self._mechanisms.endpoint_speeds:
             return 1.0
-        return difference.factor(view.usual_difference)
+        return deviation.factor(curves.median_deviation)
 
-    def note_first_part(
+    def record_first_token(
         self,
         service: str,
         endpoint_id: str,
@@ -211,52 +225,62 @@
         unread_tokens: int,
         seconds: float,
     ) -> None:
-        """Take note of when the first part came of what had no queue."""
-        view = self._view(service)
-        features = _reading_features(
-            unread_tokens, count_pairs(prompt, unread_tokens)
+        """Record the time to first token of a request that did not queue."""
+        curves = self._curves(service)
+        features = _prefill_features(
+            unread_tokens, count_attention_pairs(prompt, unread_tokens)
         )
-        expected = view.reading.seconds(features)
+        expected = curves.prefill.seconds(features)
         if expected <= 0:
             return
         ratio = seconds / expected
-        is_usual = abs(view.take_difference(endpoint_id, ratio)) <= _ODD
-        if is_usual and self._mechanisms.observed_engines:
+        is_typical = (
+            abs(curves.record_ratio(endpoint_id, ratio))
+            <= _MAX_TYPICAL_DEVIATION
+        )
+        if is_typical and self._mechanisms.observed_engines:
             power = max(unread_tokens, 1).bit_length() - 1
-            key = max(_FIRST_POWER, min(_LAST_POWER, power))
-            view.reading.note(key, features, seconds)
+            key = max(_MIN_POWER, min(_MAX_POWER, power))
+            curves.prefill.record(key, features, seconds)
 
     def note_fetch(self, service: str, fetch: Fetch, seconds: float) -> None:
-        """Take note of what a fetch added to the time of a first part."""
+        """Record how long a fetch delayed the first token."""
         if not self._mechanisms.observed_engines:
             return
         power = max(1, round(fetch.link_seconds * 1000)).bit_length() - 1
-        self._fetch_curve(service, fetch).note(
-            min(power, _LAST_FETCH_POWER), (1.0, fetch.link_seconds), seconds
+        self._fetch_curve(service, fetch).record(
+            min(power, _MAX_FETCH_POWER), (1.0, fetch.link_seconds), seconds
         )
 
-    def note_writing(self, service: str, seconds: float, busy: float) -> None:
-        """Take note of what a token took to write.
+    def record_decode(
+        self, service: str, seconds: float, prefill_share: float
+    ) -> None:
+        """Record the seconds per token of a decoded response.
 
-        :param busy: the share of its time in which the engine read prompts
+        :param prefill_share: share of the engine's time spent on prefill
         """
         if not self._mechanisms.observed_engines:
             return
-        busy = min(1.0, busy)
-        part = min(_BUSY_PARTS - 1, int(busy * _BUSY_PARTS))
-        self._view(service).writing.note(part, (1.0, busy), seconds)
+        prefill_share = min(1.0, prefill_share)
+        bucket = min(
+            _PREFILL_SHARE_BUCKETS - 1,
+            int(prefill_share * _PREFILL_SHARE_BUCKETS),
+        )
+        self._curves(service).decode.record(
+            bucket, (1.0, prefill_share), seconds
+        )
 
-    def forget(self, endpoint_id: str) -> None:
-        """Forget an endpoint that is gone."""
-        for view in self._views_by_service.values():
-            view.differences_by_id.pop(endpoint_id, None)
+    def remove_endpoint(self, endpoint_id: str) -> None:
+        """Remove an endpoint that no longer exists."""
+        for curves in self._curves_by_service.values():
+            curves.deviations_by_id.pop(endpoint_id, None)
 
     def _fetch_curve(self, service: str, fetch: Fetch) -> ObservedCurve:
-        view = self._view(service)
-        return view.far_fetching if fetch.is_far else view.fetching
-
-    def _view(self, service: str) -> _ServiceView:
-        view = self._views_by_service.get(service)
-        if view is None:
-            view = self._views_by_service[service] = _ServiceView()
-        return view
+        curves = self._curves(service)
+        return curves.remote_fetching if fetch.is_far else curves.fetching
+
+    def _curves(self, service: str) -> _ServiceCurves:
+        curves = self._curves_by_service.get(service)
+        if curves is None:
+            curves = self._curves_by_service[service] = _ServiceCurves()
+        return curves
--- a/burdockdrum/passthrough/estimate_errors.py
+++ b/burdockdrum/passthrough/estimate_errors.py
@@ -1,56 +1,58 @@
-"""How much later first parts come than is expected.
+"""Track by how much first responses are later than estimated.
 
-A wait is estimated from what is known to be before a request. An engine also
-writes for those that run, lets urgent ones in between and is sent work by
-entries that have not told yet. How late first parts come is observed, by how
-much an engine reads: where it reads nothing they come as expected.
+Wait estimates only cover the known queue. Engines also decode for running
+requests, admit more urgent ones and receive work from entry VMs that have not
+reported it yet; the resulting error is learned per rank and prefill share.
 """
 
-# Shares of the time that an engine reads, told apart in fifths.
-_PARTS = 5
-# What each new error counts: an average follows the last twenty.
-_GAIN = 0.05
-# At first each counts more, beside so many without an error. One of dozens of
-# entries sees a few long prompts in a peak's first seconds.
-_EXPECTED_RIGHT = 2
-# One that hangs or is lost tells nothing of the others.
-_MAX_SECONDS = 2.0
+_SHARE_BUCKETS = 5
+# Least weight of a new error in the moving average.
+_MIN_GAIN = 0.05
+# An average starts as that of this many estimates without an error, so that a
+# few observations suffice after a start: an entry VM sees only a few long
+# prompts in the first seconds of a peak.
+_PRIOR_OBSERVATIONS = 2
+# Clips the error of a request at an endpoint that hangs.
+_MAX_ERROR_SECONDS = 2.0
 
 
 class EstimateErrors:
-    """The mean error of one service's estimates, by rank and share."""
+    """Mean estimate error of a service, by rank and prefill share."""
 
     def __init__(self) -> None:
-        """Expect no error."""
+        """Start with an expected error of zero."""
         self._seconds_by_key: dict[tuple[int, int], float] = {}
-        self._notes_by_key: dict[tuple[int, int], int] = {}
+        self._counts_by_key: dict[tuple[int, int], int] = {}
 
-    def note(self, rank: int, busy: float, seconds: float) -> None:
-        """Take note of how much later a first part came than expected.
+    def record(self, rank: int, prefill_share: float, seconds: float) -> None:
+        """Record by how much a first response was later than estimated.
 
-        :param busy: the share of its time in which the engine reads
+        :param prefill_share: share of the engine's time spent on prefill
+        :param seconds: negative if the response came earlier
         """
-        key = (rank, _part(busy))
-        error = max(-_MAX_SECONDS, min(_MAX_SECONDS, seconds))
-        notes = self._notes_by_key.get(key, 0) + 1
-        self._notes_by_key[key] = notes
-        gain = max(_GAIN, 1 / (notes + _EXPECTED_RIGHT))
-        known = self._seconds_by_key.get(key, 0.0)
-        self._seconds_by_key[key] = known + (error - known) * gain
-
-    def expect(self, rank: int, busy: float) -> float:
-        """Return how much later a first part is to be expected.
-
-        It is no less where an engine reads more: few requests are seen at
-        each share, and a lucky one must not draw the others there.
+        key = (rank, _bucket(prefill_share))
+        error = max(-_MAX_ERROR_SECONDS, min(_MAX_ERROR_SECONDS, seconds))
+        count = self._counts_by_key.get(key, 0) + 1
+        self._counts_by_key[key] = count
+        gain = max(_MIN_GAIN, 1 / (count + _PRIOR_OBSERVATIONS))
+        mean = self._seconds_by_key.get(key, 0.0)
+        self._seconds_by_key[key] = mean + (error - mean) * gain
+
+    def expect(self, rank: int, prefill_share: float) -> float:
+        """Return the expected error in seconds, at least 0.
+
+        It never decreases with the prefill share: with few samples a bucket,
+        one early response must not attract all further requests.
         """
-        top = _part(busy)
-        known = [
-            self._seconds_by_key.get((rank, part), 0.0)
-            for part in range(top + 1)
+        top = _bucket(prefill_share)
+        mean_errors = [
+            self._seconds_by_key.get((rank, bucket), 0.0)
+            for bucket in range(top + 1)
         ]
-        return max(0.0, *known)
+        return max(0.0, *mean_errors)
 
 
-def _part(busy: float) -> int:
-    return min(_PARTS - 1, int(max(0.0, busy) * _PARTS))
+def _bucket(prefill_share: float) -> int:
+    return min(
+        _SHARE_BUCKETS - 1, int(max(0.0, prefill_share) * _SHARE_BUCKETS)
+    )
--- a/burdockdrum/passthrough/fleet.py
+++ b/burdockdrum/passthrough/fleet.py
@@ -1,4 +1,8 @@
-"""Choose an endpoint of this region for a request."""
+"""Select an endpoint of this region for a request.
+
+Combines the registered endpoints, the load that this and other entry VMs have
+there, endpoint health and cached prefixes.
+"""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -8,16 +12,16 @@
 from burdockdrum.passthrough.engines import Engines
 from burdockdrum.passthrough.finding import BeginningFinder
 from burdockdrum.passthrough.health import EndpointHealth
-from burdockdrum.passthrough.learning import Learning
-from burdockdrum.passthrough.limits import ColdGate
+from burdockdrum.passthrough.learning import RequestTimings
+from burdockdrum.passthrough.limits import SlowStartGate
 from burdockdrum.passthrough.prompts import Prompt
-from burdockdrum.passthrough.rating import Rater
-from burdockdrum.passthrough.rating import Wanted
+from burdockdrum.passthrough.rating import EndpointRater
+from burdockdrum.passthrough.rating import RatedRequest
 from burdockdrum.passthrough.stale import draw
 from burdockdrum.passthrough.stale import find_level
 from burdockdrum.passthrough.tracks import Choice
+from burdockdrum.passthrough.tracks import EndpointState
 from burdockdrum.passthrough.tracks import Placement
-from burdockdrum.passthrough.tracks import Track
 from burdockdrum.passthrough.warmth import Warmth
 from burdockdrum.ports import Clock
 from burdockdrum.registrations import Load
@@ -28,18 +32,18 @@
 from burdockdrum.resources import Route
 from burdockdrum.settings import MechanismSettings
 
-# An endpoint with work gives something within so many usual runs, and at
-# the latest within the time that it takes to read the longest prompt.
-MUTE_RUNS = 8
-MIN_MUTE_SECONDS = 0.4
-MAX_MUTE_SECONDS = 1.5
-# Estimates that differ by less are as good as the same: the work that is
-# taken to come at least, so that equal endpoints take turns.
-TIE_SECONDS = 0.002
+# An endpoint is stalled if it has work and sends nothing for this many average
+# run times, within bounds; the maximum covers the prefill of a long prompt.
+STALL_TIMEOUT_RUNS = 8
+MIN_STALL_TIMEOUT_SECONDS = 0.4
+MAX_STALL_TIMEOUT_SECONDS = 1.5
+# Least expected work when drawing an endpoint: those whose estimates differ by
+# less share the requests.
+TIE_MARGIN_SECONDS = 0.002
 
 
 class Fleet:
-    """The endpoints of this region, and what this entry has there."""
+    """The endpoints of this region, and this entry VM's requests there."""
 
     def __init__(
         self,
@@ -61,17 +65,17 @@
         """Create a fleet.
 
         :param read_endpoints: returns the registered endpoints by id
-        :param read_load: returns what other entries have at an endpoint
-        :param read_unheard: returns how many entries tell nothing
-        :param read_lag: returns how many seconds ago the others were heard
-        :param drop_endpoint: forgets an endpoint, by its id
-        :param ledger: what endpoints have said that they hold
-        :param note_shared: is told of parts that prompts share
+        :param read_load: returns the load of other entry VMs at an endpoint
+        :param read_unheard: returns how many entry VMs report no load
+        :param read_lag: returns the age of the reported loads in seconds
+        :param drop_endpoint: removes an endpoint, by its id
+        :param ledger: the cached prefixes that endpoints have reported
+        :param note_shared: called with the id of each shared prompt part
         :param read_region: returns the region of a data centre
-        :param mechanisms: the parts of the policy that are in use; all
-        :param data_centre: where this entry is
-        :param crossing_seconds: what a megabyte to another data centre
-            counts against seconds of waiting
+        :param mechanisms: the enabled parts of the policy; default all
+        :param data_centre: the data centre of this entry VM
+        :param crossing_seconds: seconds of waiting that equal the cost of
+            sending a megabyte to another data centre
         """
         self._mechanisms = mechanisms or MechanismSettings()
         self.entries = 1
@@ -79,7 +83,7 @@
             read_now=clock.monotonic, ledger=ledger, note_shared=note_shared
         )
         self.engines = Engines(mechanisms=self._mechanisms)
-        self._learning = Learning(engines=self.engines)
+        self._learning = RequestTimings(engines=self.engines)
         self.beginnings = BeginningFinder(
             warmth=self.warmth,
             engines=self.engines,
@@ -91,7 +95,7 @@
         self._clock = clock
         self._rng = rng
         self._read_endpoints = read_endpoints
-        self._rater = Rater(
+        self._rater = EndpointRater(
             engines=self.engines,
             read_load=read_load,
             read_unheard=read_unheard,
@@ -101,11 +105,11 @@
             crossing_seconds=crossing_seconds,
         )
         self._data_centre = data_centre
-        self._prefers_near = crossing_seconds > 0
+        self._prefers_local = crossing_seconds > 0
         self._read_lag = read_lag
         self._drop_endpoint = drop_endpoint
-        self._tracks_by_id: dict[str, Track] = {}
-        self._cold_gate = ColdGate(clock=clock, rng=rng)
+        self._states_by_id: dict[str, EndpointState] = {}
+        self._slow_start_gate = SlowStartGate(clock=clock, rng=rng)
 
     def choose(
         self,
@@ -118,23 +122,25 @@
         closed_data_centres: frozenset[str],
         body_bytes: int = 0,
     ) -> Choice | None:
-        """Return the endpoint that should answer first, None if none may.
+        """Return the endpoint with the best expected wait.
+
+        Returns None if no endpoint is eligible.
 
         :param seconds_left: until the caller's deadline
-        :param tried: ids of endpoints that are not to be chosen again
-        :param closed_data_centres: whose endpoints get no new work
-        :param body_bytes: what is sent with it
+        :param tried: ids of endpoints to exclude
+        :param closed_data_centres: data centres that get no new requests
+        :param body_bytes: size of the request's body
         """
         candidates = [
             endpoint
             for endpoint in self._live(backend.name)
             if endpoint.endpoint_id not in tried
             and endpoint.data_centre not in closed_data_centres
-            and self._may_take(endpoint, backend)
+            and self._is_eligible(endpoint, backend)
         ]
         if not candidates:
             return None
-        wanted = Wanted(
+        request = RatedRequest(
             route=route,
             backend=backend,
             prompt=prompt,
@@ -146,58 +152,62 @@
             errors=self._learning.errors_of(backend.name),
             body_bytes=body_bytes,
         )
-        choices = [self._rate(endpoint, wanted) for endpoint in candidates]
-        pace = sum(choice.pace for choice in choices)
-        coming = TIE_SECONDS
+        choices = [self._rate(endpoint, request) for endpoint in candidates]
+        offered_load = sum(choice.offered_load for choice in choices)
+        expected_work = TIE_MARGIN_SECONDS
         if self._mechanisms.stale_spread:
-            coming = max(pace * self._read_lag(), TIE_SECONDS)
-        if self._prefers_near:
-            choices = self._keep_near(choices, coming)
+            expected_work = max(
+                offered_load * self._read_lag(), TIE_MARGIN_SECONDS
+            )
+        if self._prefers_local:
+            choices = self._prefer_local(choices, expected_work)
         waits = [choice.wait.total for choice in choices]
-        chosen = choices[draw(waits, coming, self._rng)]
+        chosen = choices[draw(waits, expected_work, self._rng)]
         reading_tokens = self._rater.reading_tokens(
-            wanted, chosen.unread_tokens
+            request, chosen.unread_tokens
         )
         return replace(chosen, reading_tokens=reading_tokens)
 
-    def _keep_near(self, choices: list[Choice], coming: float) -> list[Choice]:
-        """Leave out what is farther away, where something near will do.
+    def _prefer_local(
+        self, choices: list[Choice], expected_work: float
+    ) -> list[Choice]:
+        """Restrict choices to this data centre if it has free capacity.
 
-        An endpoint of this data centre that would get some of what comes gets
-        it all: crossings between data centres are paid for.
+        Traffic between data centres costs money, so that local endpoints
+        below the fill level get all of the expected work.
 
-        :param coming: seconds of work that come until loads are heard again
+        :param expected_work: seconds of work until the next load report
         """
         waits = [choice.wait.total for choice in choices]
-        level = find_level(waits, coming)
-        near = [
+        level = find_level(waits, expected_work)
+        local = [
             choice
             for choice in choices
             if choice.endpoint.data_centre == self._data_centre
             and choice.wait.total < level
         ]
-        return near or choices
+        return local or choices
 
     def count_live(self, service: str) -> int:
-        """Return how many endpoints of a service take work here."""
+        """Return how many endpoints of a service accept requests here."""
         return sum(1 for _ in self._live(service))
 
     def begin(
         self, choice: Choice, backend: Backend, prompt: Prompt, rank: int
     ) -> Placement:
-        """Count a request that is sent to an endpoint."""
+        """Record a request that is sent to an endpoint."""
         endpoint = choice.endpoint
         now = self._clock.monotonic()
-        track = self._track(endpoint)
-        track.add_recent(now, rank, choice.reading_tokens)
-        track.health.begin(now)
-        if not track.placements:
-            track.silent_since = now
+        state = self._track(endpoint)
+        state.add_recent(now, rank, choice.reading_tokens)
+        state.health.record_start(now)
+        if not state.placements:
+            state.idle_since = now
         if backend.engine is not None:
             memory = backend.engine.memory_tokens
             self.warmth.note_sent(endpoint.endpoint_id, prompt, memory)
-        if self._is_cold(endpoint, backend):
-            self._cold_gate.pass_one(
+        if self._is_in_slow_start(endpoint, backend):
+            self._slow_start_gate.acquire(
                 endpoint.endpoint_id,
                 backend.cold_requests_per_second,
                 self.entries,
@@ -208,70 +218,75 @@
             rank=rank,
             began_at=now,
         )
-        track.placements.add(placement)
+        state.placements.add(placement)
         return placement
 
     def note_output(self, placement: Placement) -> None:
-        """Take note that something came, for the first time or again."""
+        """Record that an endpoint sent a chunk of its response."""
         now = self._clock.monotonic()
-        track = self._tracks_by_id.get(placement.endpoint.endpoint_id)
-        if track is not None:
-            track.silent_since = now
-        placement.last_at = now
+        state = self._states_by_id.get(placement.endpoint.endpoint_id)
+        if state is not None:
+            state.idle_since = now
+        placement.last_output_at = now
         placement.parts += 1
-        if placement.read_at is None:
-            placement.read_at = now
-            if track is not None:
-                track.first_at = now
-            self._learning.note_first_part(placement, now)
+        if placement.first_output_at is None:
+            placement.first_output_at = now
+            if state is not None:
+                state.latest_first_output_at = now
+            self._learning.record_first_token(placement, now)
 
     def end(
         self, placement: Placement, backend: Backend, *, whole: bool
     ) -> None:
-        """Take note that nothing is under way any more."""
+        """Record the end of a request.
+
+        :param whole: whether the endpoint sent a complete response
+        """
         now = self._clock.monotonic()
         if whole:
-            self._learning.note_whole(placement, backend, now)
-        track = self._tracks_by_id.get(placement.endpoint.endpoint_id)
-        if track is not None:
-            track.placements.discard(placement)
+            self._learning.record_completion(placement, backend, now)
+        state = self._states_by_id.get(placement.endpoint.endpoint_id)
+        if state is not None:
+            state.placements.discard(placement)
             if whole:
-                track.silent_since = now
+                state.idle_since = now
 
-    def drop(self, endpoint: RegisteredEndpoint) -> None:
-        """Forget a start of an endpoint that another has taken the place of.
+    def remove_incarnation(self, endpoint: RegisteredEndpoint) -> None:
+        """Remove an incarnation of an endpoint that has been replaced.
 
-        Its own end may never be told; each request sent to it is refused,
-        and counts as one more that was sent.
+        Its deregistration may never arrive, and each request sent to it
+        would be refused and use up an attempt.
         """
         self._drop_endpoint(endpoint.endpoint_id)
 
     def health_of(self, endpoint: RegisteredEndpoint) -> EndpointHealth:
-        """Return what became of the requests at an endpoint."""
-        track = self._tracks_by_id.get(endpoint.endpoint_id)
-        return track.health if track is not None else EndpointHealth()
-
-    def note_run(self, service: str, seconds: float) -> None:
-        """Take note of how long a request has held a slot elsewhere."""
-        self._learning.note_run(service, seconds)
-
-    def expect_error(self, service: str, rank: int, busy: float) -> float:
-        """Return how much later than estimated a first part will come."""
+        """Return the health of an endpoint."""
+        state = self._states_by_id.get(endpoint.endpoint_id)
+        return state.health if state is not None else EndpointHealth()
+
+    def record_run(self, service: str, seconds: float) -> None:
+        """Record how long a request held a slot in another region."""
+        self._learning.record_run(service, seconds)
+
+    def estimate_error(
+        self, service: str, rank: int, prefill_share: float
+    ) -> float:
+        """Return by how much a first response is expected to be late."""
         if not self._mechanisms.late_parts:
             return 0.0
-        return self._learning.errors_of(service).expect(rank, busy)
+        return self._learning.errors_of(service).expect(rank, prefill_share)
 
     def run_seconds(self, service: str) -> float:
-        """Return how long a request of a service takes, on average."""
+        """Return how long a request of a service holds a slot on average."""
         return self._learning.run_seconds(service)
 
     def read_own_load(self) -> dict[str, list[RankLoad]]:
-        """Return what this entry has under way, by endpoint."""
+        """Return this entry VM's load by endpoint id."""
         now = self._clock.monotonic()
         ranks_by_id = {}
-        for endpoint_id, track in self._tracks_by_id.items():
-            token_seconds = self.engines.token_seconds(track.service)
-            load = track.load(
+        for endpoint_id, state in self._states_by_id.items():
+            token_seconds = self.engines.token_seconds(state.service)
+            load = state.load(
                 now,
                 token_seconds,
                 counts_progress=self._mechanisms.reading_progress,
@@ -282,12 +297,12 @@
         return ranks_by_id
 
     def forget_ended(self) -> None:
-        """Drop what is known of endpoints that are gone."""
+        """Remove the state of endpoints that no longer exist."""
         live = self._read_endpoints()
-        for endpoint_id, track in list(self._tracks_by_id.items()):
-            if endpoint_id not in live and not track.placements:
-                del self._tracks_by_id[endpoint_id]
-                self.engines.forget(endpoint_id)
+        for endpoint_id, state in list(self._states_by_id.items()):
+            if endpoint_id not in live and not state.placements:
+                del self._states_by_id[endpoint_id]
+                self.engines.remove_endpoint(endpoint_id)
         self.warmth.keep_only(live)
 
     def _live(self, service: str) -> list[RegisteredEndpoint]:
@@ -300,82 +315,91 @@
             and (endpoint.ends_at is None or endpoint.ends_at > now)
         ]
 
-    def _may_take(
+    def _is_eligible(
         self, endpoint: RegisteredEndpoint, backend: Backend
     ) -> bool:
         now = self._clock.monotonic()
-        track = self._tracks_by_id.get(endpoint.endpoint_id)
-        if track is not None and not track.health.is_reachable(now):
+        state = self._states_by_id.get(endpoint.endpoint_id)
+        if state is not None and not state.health.is_reachable(now):
             return False
-        if self._is_cold(endpoint, backend):
-            return self._cold_gate.is_open(
+        if self._is_in_slow_start(endpoint, backend):
+            return self._slow_start_gate.is_open(
                 endpoint.endpoint_id,
                 backend.cold_requests_per_second,
                 self.entries,
             )
         return True
 
-    def _is_cold(self, endpoint: RegisteredEndpoint, backend: Backend) -> bool:
+    def _is_in_slow_start(
+        self, endpoint: RegisteredEndpoint, backend: Backend
+    ) -> bool:
         now = self._clock.monotonic()
         if endpoint.cold_until > now:
             return True
         if endpoint.born == UNKNOWN_START or not backend.cold_seconds:
-            # Another start has another id, and refuses what is for this one.
+            # A restarted endpoint has a new id and refuses requests for the
+            # old one.
             return False
         health = self.health_of(endpoint)
         return health.may_have_restarted(now, backend.cold_seconds)
 
     def _list_sources(self, service: str) -> list[RegisteredEndpoint]:
-        """Return the endpoints here that others may fetch from."""
-        return [e for e in self._live(service) if self._answers(e)]
+        """Return the endpoints here that may serve prefix fetches."""
+        return [e for e in self._live(service) if self._is_responsive(e)]
 
-    def _answers(self, endpoint: RegisteredEndpoint) -> bool:
-        """Say whether others may fetch from an endpoint, as seen here."""
-        track = self._tracks_by_id.get(endpoint.endpoint_id)
-        if endpoint.silent or track is None:
+    def _is_responsive(self, endpoint: RegisteredEndpoint) -> bool:
+        """Return whether an endpoint sends heartbeats and responses."""
+        state = self._states_by_id.get(endpoint.endpoint_id)
+        if endpoint.silent or state is None:
             return not endpoint.silent
         now = self._clock.monotonic()
-        is_reachable = track.health.is_reachable(now)
-        return is_reachable and not self._is_doubtful(track, endpoint, now)
+        is_reachable = state.health.is_reachable(now)
+        return is_reachable and not self._is_suspect(state, endpoint, now)
 
-    def _rate(self, endpoint: RegisteredEndpoint, wanted: Wanted) -> Choice:
+    def _rate(
+        self, endpoint: RegisteredEndpoint, request: RatedRequest
+    ) -> Choice:
         now = self._clock.monotonic()
-        track = self._track(endpoint)
+        state = self._track(endpoint)
         return self._rater.rate(
             endpoint,
-            track,
-            wanted,
-            self.warmth.held_tokens(endpoint.endpoint_id, wanted.prompt),
+            state,
+            request,
+            self.warmth.held_tokens(endpoint.endpoint_id, request.prompt),
             now,
-            is_doubtful=self._is_doubtful(track, endpoint, now),
+            is_suspect=self._is_suspect(state, endpoint, now),
         )
 
-    def _is_doubtful(
-        self, track: Track, endpoint: RegisteredEndpoint, now: float
+    def _is_suspect(
+        self, state: EndpointState, endpoint: RegisteredEndpoint, now: float
     ) -> bool:
-        if self._mechanisms.failing_set_aside and track.health.is_set_aside(
-            now
-        ):
+        if self._mechanisms.failing_set_aside and state.health.is_ejected(now):
             return True
-        return self._mechanisms.mute_avoided and self._is_mute(track, endpoint)
+        return self._mechanisms.mute_avoided and self._is_stalled(
+            state, endpoint
+        )
 
-    def _is_mute(self, track: Track, endpoint: RegisteredEndpoint) -> bool:
-        """Say whether an endpoint has work and gives nothing.
+    def _is_stalled(
+        self, state: EndpointState, endpoint: RegisteredEndpoint
+    ) -> bool:
+        """Return whether an endpoint has requests and sends nothing.
 
-        Its connections may take requests for seconds after it has lost its
-        power, until the kernel ends them.
+        After a power loss its connections accept requests for seconds, until
+        the kernel reports an error.
         """
-        if not track.placements:
+        if not state.placements:
             return False
-        silence = self._clock.monotonic() - track.silent_since
-        return silence > self.mute_seconds(endpoint.service)
-
-    def mute_seconds(self, service: str) -> float:
-        """Return how long an endpoint with work may give nothing."""
-        usual = self.run_seconds(service) * MUTE_RUNS
-        return min(MAX_MUTE_SECONDS, max(MIN_MUTE_SECONDS, usual))
+        idle_seconds = self._clock.monotonic() - state.idle_since
+        return idle_seconds > self.stall_timeout_seconds(endpoint.service)
+
+    def stall_timeout_seconds(self, service: str) -> float:
+        """Return after how long without output an endpoint is stalled."""
+        usual = self.run_seconds(service) * STALL_TIMEOUT_RUNS
+        return min(
+            MAX_STALL_TIMEOUT_SECONDS, max(MIN_STALL_TIMEOUT_SECONDS, usual)
+        )
 
-    def _track(self, endpoint: RegisteredEndpoint) -> Track:
-        return self._tracks_by_id.setdefault(
-            endpoint.endpoint_id, Track(service=endpoint.service)
+    def _track(self, endpoint: RegisteredEndpoint) -> EndpointState:
+        return self._states_by_id.setdefault(
+            endpoint.endpoint_id, EndpointState(service=endpoint.service)
         )
--- a/burdockdrum/passthrough/health.py
+++ b/burdockdrum/passthrough/health.py
@@ -1,109 +1,108 @@
-"""Whether an endpoint answers well, by its answers alone.
+"""Passive health checks: outlier ejection by the outcomes of requests.
 
-A status check says little: an endpoint may pass it and fail every request,
-or fail it and serve. What counts here is what became of the requests.
+Active status checks are not enough: an endpoint can pass them and still fail
+every request.
 """
 
 from dataclasses import dataclass
 
-# What one outcome counts. With a tenth, a service that fails one request in
-# seven by its nature stays four standard deviations below the limit, and an
-# endpoint that fails all is set aside after six; a connection that breaks
-# is no answer of any service and counts double.
+# Weights of an outcome in the moving failure rate. An endpoint that fails all
+# requests is ejected after six, one that fails every seventh is not. A broken
+# connection is never a regular response and counts double.
 _FAILURE_WEIGHT = 0.1
 _LOSS_WEIGHT = 0.2
-SET_ASIDE_SCORE = 0.45
-# First and longest time that it gets nothing; then one request tries it.
-FIRST_PAUSE_SECONDS = 1.0
-MAX_PAUSE_SECONDS = 8.0
-# How long after a failed connect it is passed over: a restart takes seconds.
-UNREACHABLE_SECONDS = 1.0
+EJECTION_SCORE = 0.45
+# First and longest ejection; after it a single request probes the endpoint.
+MIN_EJECTION_SECONDS = 1.0
+MAX_EJECTION_SECONDS = 8.0
+# How long an endpoint is skipped after a failed connect.
+CONNECT_BACKOFF_SECONDS = 1.0
 
 
 @dataclass(kw_only=True)
 class EndpointHealth:
-    """The recent failures of one endpoint, on the monotonic clock.
+    """The recent failures of one endpoint; times are monotonic.
 
-    One that is ``unreachable`` gets nothing. One that is set aside for its
-    failures is used where there is no better one: a service that fails
-    everywhere is not helped by having its endpoints set aside.
-    ``back_since`` is when it was reached again after it had not been, None
-    while it is as it always was.
+    An unreachable endpoint gets no requests. An ejected one is still used if
+    there is no better one: if a service fails everywhere, ejecting all of its
+    endpoints would not help. ``reachable_since`` is the first success after a
+    failed connect, None if there is none.
     """
 
     score: float = 0.0
-    paused_until: float = 0.0
+    ejected_until: float = 0.0
     unreachable_until: float = 0.0
-    pause: float = 0.0
-    on_trial: bool = False
+    ejection_seconds: float = 0.0
+    is_probing: bool = False
     was_unreachable: bool = False
-    back_since: float | None = None
+    reachable_since: float | None = None
 
     def is_reachable(self, now: float) -> bool:
-        """Say whether a connection may come about."""
+        """Return whether the backoff after a failed connect has passed."""
         return now >= self.unreachable_until
 
     def may_have_restarted(self, now: float, cold_seconds: float) -> bool:
-        """Say whether it may have started again, and be cold still.
+        """Return whether it may have restarted and still need a slow start.
 
-        It may be back under the same id before its first check-in. From the
-        first answer after a failed connect it counts as cold for as long as a
-        start makes it so.
+        It can accept requests under the same id before its first heartbeat.
+        After a failed connect it counts as restarted until ``cold_seconds``
+        have passed since the first response.
         """
         if not self.was_unreachable:
             return False
-        since = self.back_since
+        since = self.reachable_since
         return since is None or now - since < cold_seconds
 
-    def is_set_aside(self, now: float) -> bool:
-        """Say whether others are to be used first."""
-        return now < self.paused_until or self.on_trial
+    def is_ejected(self, now: float) -> bool:
+        """Return whether other endpoints are preferred to this one."""
+        return now < self.ejected_until or self.is_probing
 
-    def begin(self, now: float) -> None:
-        """Take note of a request that is sent; one at a time on trial."""
-        if self.pause and now >= self.paused_until:
-            self.on_trial = True
+    def record_start(self, now: float) -> None:
+        """Record a sent request; after an ejection it is the only probe."""
+        if self.ejection_seconds and now >= self.ejected_until:
+            self.is_probing = True
 
     def note_reached(self, now: float) -> None:
-        """Take note of a sign of life."""
-        if self.was_unreachable and self.back_since is None:
-            self.back_since = now
+        """Record that the endpoint sent a response."""
+        if self.was_unreachable and self.reachable_since is None:
+            self.reachable_since = now
 
     def note_success(self) -> None:
-        """Take note of a good answer."""
+        """Record a successful response."""
         self.score *= 1 - _FAILURE_WEIGHT
-        self.on_trial = False
-        if self.score < SET_ASIDE_SCORE:
-            self.pause = 0.0
-            self.paused_until = 0.0
+        self.is_probing = False
+        if self.score < EJECTION_SCORE:
+            self.ejection_seconds = 0.0
+            self.ejected_until = 0.0
 
     def note_failure(self, now: float) -> None:
-        """Take note of a failure that the endpoint answered."""
-        self._note(now, _FAILURE_WEIGHT)
+        """Record an error response."""
+        self._record_failure(now, _FAILURE_WEIGHT)
 
     def note_loss(self, now: float) -> None:
-        """Take note of an answer that was cut, wrong or never came."""
-        self._note(now, _LOSS_WEIGHT)
+        """Record a truncated, malformed or missing response."""
+        self._record_failure(now, _LOSS_WEIGHT)
 
     def note_unreachable(self, now: float) -> None:
-        """Take note that no connection came about."""
-        self.on_trial = False
-        self.unreachable_until = now + UNREACHABLE_SECONDS
+        """Record a failed connect."""
+        self.is_probing = False
+        self.unreachable_until = now + CONNECT_BACKOFF_SECONDS
         self.was_unreachable = True
-        self.back_since = None
+        self.reachable_since = None
 
-    def note_neutral(self) -> None:
-        """Take note of an end that says nothing, as when a caller left."""
-        self.on_trial = False
+    def record_neutral(self) -> None:
+        """Record an end without a verdict, such as a caller's disconnect."""
+        self.is_probing = False
 
-    def _note(self, now: float, weight: float) -> None:
+    def _record_failure(self, now: float, weight: float) -> None:
         self.score = self.score * (1 - weight) + weight
-        self.on_trial = False
-        if self.score < SET_ASIDE_SCORE:
+        self.is_probing = False
+        if self.score < EJECTION_SCORE:
             return
-        self.pause = min(
-            MAX_PAUSE_SECONDS, max(FIRST_PAUSE_SECONDS, self.pause * 2)
+        self.ejection_seconds = min(
+            MAX_EJECTION_SECONDS,
+            max(MIN_EJECTION_SECONDS, self.ejection_seconds * 2),
         )
-        self.paused_until = now + self.pause
-        # What it did before the pause is not held against its next try.
-        self.score = SET_ASIDE_SCORE
+        self.ejected_until = now + self.ejection_seconds
+        # One success after the ejection is enough to lift it.
+        self.score = EJECTION_SCORE
--- a/burdockdrum/passthrough/learning.py
+++ b/burdockdrum/passthrough/learning.py
@@ -1,64 +1,68 @@
-"""Learn from the requests of this entry how long things take."""
+"""Learn run times and engine speeds from this entry VM's requests.
+
+Decides which observations are meaningful: a queued request, for example, says
+nothing about the speed of prefill.
+"""
 
 from burdockdrum.passthrough.engines import Engines
 from burdockdrum.passthrough.estimate_errors import EstimateErrors
 from burdockdrum.passthrough.tracks import Placement
 from burdockdrum.resources import Backend
 
-# Before a request of a service has been timed.
-FIRST_RUN_SECONDS = 0.5
-# What an average keeps with each new time: it follows the last twenty or so.
-_KEPT = 0.95
-# A first part tells how fast an endpoint reads if no more than this part of
-# its prompt's tokens was before it.
-ALONE_PART = 0.1
-# No first part comes sooner: what seems to is a clock that stands.
-MIN_FIRST_SECONDS = 0.001
+# Assumed until a request of the service has completed.
+DEFAULT_RUN_SECONDS = 0.5
+# Weight of the previous average when a run time is added.
+_AVERAGE_DECAY = 0.95
+# The time to first token is only used as a sample if the tokens queued before
+# the request are at most this fraction of its own.
+MAX_QUEUED_FRACTION = 0.1
+# Floor of a sample, so that a coarse clock doesn't yield zero.
+MIN_FIRST_PART_SECONDS = 0.001
 
 
-class Learning:
-    """What is learned of runs, of reading, writing and fetching."""
+class RequestTimings:
+    """Average run times and estimate errors by service."""
 
     def __init__(self, *, engines: Engines) -> None:
-        """Have learned nothing yet.
+        """Start without observations.
 
-        :param engines: is told how fast engines read, write and fetch
+        :param engines: receives samples of prefill, decode and fetch times
         """
         self._engines = engines
         self._run_seconds_by_service: dict[str, float] = {}
         self._errors_by_service: dict[str, EstimateErrors] = {}
 
     def errors_of(self, service: str) -> EstimateErrors:
-        """Return how far the estimates of a service were wrong."""
+        """Return the estimate errors of a service."""
         return self._errors_by_service.setdefault(service, EstimateErrors())
 
     def run_seconds(self, service: str) -> float:
-        """Return how long a request of a service takes, on average."""
-        return self._run_seconds_by_service.get(service, FIRST_RUN_SECONDS)
+        """Return how long a request of a service holds a slot on average."""
+        return self._run_seconds_by_service.get(service, DEFAULT_RUN_SECONDS)
 
-    def note_run(self, service: str, seconds: float) -> None:
-        """Take note of how long a request has held a slot."""
-        known = self.run_seconds(service)
-        self._run_seconds_by_service[service] = known * _KEPT + seconds * (
-            1 - _KEPT
+    def record_run(self, service: str, seconds: float) -> None:
+        """Record how long a request held a slot."""
+        mean = self.run_seconds(service)
+        self._run_seconds_by_service[service] = (
+            mean * _AVERAGE_DECAY + seconds * (1 - _AVERAGE_DECAY)
         )
 
-    def note_first_part(self, placement: Placement, now: float) -> None:
-        """Take note of the first output of a request."""
+    def record_first_token(self, placement: Placement, now: float) -> None:
+        """Record the time to first token of a request."""
         choice = placement.choice
         wait = choice.wait
-        self.errors_of(choice.endpoint.service).note(
+        self.errors_of(choice.endpoint.service).record(
             placement.rank,
-            choice.busy,
+            choice.prefill_share,
             now - placement.began_at - wait.queue - wait.own,
         )
         unread = choice.unread_tokens
-        if choice.ahead_tokens > unread * ALONE_PART:
+        if choice.queued_tokens > unread * MAX_QUEUED_FRACTION:
             return
         service = choice.endpoint.service
-        seconds = max(MIN_FIRST_SECONDS, now - placement.began_at)
+        seconds = max(MIN_FIRST_PART_SECONDS, now - placement.began_at)
         if choice.fetch is None:
-            self._engines.note_first_part(
+            self._engines.record_first_token(
                 service,
                 choice.endpoint.endpoint_id,
                 placement.prompt,
@@ -71,29 +75,31 @@
         self._engines.note_fetch(
             service,
             choice.fetch,
-            max(MIN_FIRST_SECONDS, seconds - rest),
+            max(MIN_FIRST_PART_SECONDS, seconds - rest),
         )
 
-    def note_whole(
+    def record_completion(
         self, placement: Placement, backend: Backend, now: float
     ) -> None:
-        """Take note of a request that was answered to its end."""
-        # What it waited in the endpoint's queue held no slot.
+        """Record a complete response."""
+        # Time in the endpoint's queue doesn't hold a slot.
         began = placement.began_at
-        if placement.read_at is not None:
-            began = max(began, placement.read_at - placement.choice.wait.own)
-        self.note_run(placement.endpoint.service, now - began)
-        self._note_writing(placement, backend)
+        if placement.first_output_at is not None:
+            began = max(
+                began, placement.first_output_at - placement.choice.wait.own
+            )
+        self.record_run(placement.endpoint.service, now - began)
+        self._record_decode(placement, backend)
 
-    def _note_writing(self, placement: Placement, backend: Backend) -> None:
-        first, last = placement.read_at, placement.last_at
+    def _record_decode(self, placement: Placement, backend: Backend) -> None:
+        first, last = placement.first_output_at, placement.last_output_at
         engine = backend.engine
         if engine is None or first is None or last is None:
             return
         tokens = (placement.parts - 1) * engine.tokens_an_event
         if tokens > 0 and last > first:
-            self._engines.note_writing(
+            self._engines.record_decode(
                 placement.endpoint.service,
                 (last - first) / tokens,
-                placement.choice.busy,
+                placement.choice.prefill_share,
             )
--- a/burdockdrum/passthrough/limits.py
+++ b/burdockdrum/passthrough/limits.py
@@ -1,7 +1,7 @@
-"""Limits that hold over all entries without asking them.
+"""Limits shared by all entry VMs, enforced without communication.
 
-Each entry keeps to a share that is right however many others there are: it
-counts those that may be alive, and counts them high.
+Each entry VM takes a conservative share of the limit, computed from the
+number of entry VMs that may be alive.
 """
 
 import collections
@@ -9,23 +9,22 @@
 
 from burdockdrum.ports import Clock
 
-# Shares leave a part of a limit unused: entries count each other
-# differently while some start or are cut off.
-SAFE_PART = 0.7
-# With so many entries one request of each at once is harmless still: what
-# a cold endpoint bears in a second is half its rate more, and three.
-MAX_TOGETHER = 4
-# Requests a second; a rate of 0 would close an endpoint for good.
-MIN_RATE = 0.01
-MAX_KEPT = 4096
+# Part of a limit that is used: entry VMs disagree on their number while some
+# start or are partitioned.
+SAFE_FRACTION = 0.7
+# Up to this many entry VMs may each send a first request at once. An endpoint
+# in slow start tolerates 1.5 times its rate plus three requests in a second.
+MAX_UNSTAGGERED_ENTRIES = 4
+# Floor of a rate, as a rate of 0 would close an endpoint for good.
+MIN_REQUESTS_PER_SECOND = 0.01
+MAX_TRACKED_ENDPOINTS = 4096
 
 
 class RetryBudget:
-    """How many requests may be sent to a service once more.
+    """Retry budget: limits retries to a ratio of the requests.
 
-    Where each failure is tried again, load multiplies. Retries are kept to a
-    part of the requests in a sliding window, and a burst that all entries
-    share.
+    Prevents retries from multiplying the load on a failing service. Counts
+    over a sliding window and adds a burst that all entry VMs share.
     """
 
     def __init__(
@@ -33,38 +32,40 @@
     ) -> None:
         """Create a budget.
 
-        :param ratio: retries a request, over all entries
-        :param burst: further retries in a window, over all entries
-        :param window: seconds
+        :param ratio: retries per request, over all entry VMs
+        :param burst: further retries in a window, over all entry VMs
+        :param window: length of the sliding window in seconds
         """
         self.entries = 1
         self._clock = clock
         self._ratio = ratio
         self._burst = burst
         self._window = window
-        self._firsts = _Window(clock=clock, seconds=window)
-        self._retries = _Window(clock=clock, seconds=window)
+        self._first_attempts = _SlidingWindow(clock=clock, seconds=window)
+        self._retries = _SlidingWindow(clock=clock, seconds=window)
 
     def note_request(self, service: str) -> None:
-        """Count a request's first attempt."""
-        self._firsts.add(service)
-
-    def has(self, service: str) -> bool:
-        """Say whether the budget has a retry."""
-        share = self._burst * SAFE_PART / max(1, self.entries)
-        earned = self._firsts.count(service) * self._ratio * SAFE_PART
+        """Record a request's first attempt."""
+        self._first_attempts.add(service)
+
+    def allows(self, service: str) -> bool:
+        """Return whether the budget allows a retry."""
+        share = self._burst * SAFE_FRACTION / max(1, self.entries)
+        earned = (
+            self._first_attempts.count(service) * self._ratio * SAFE_FRACTION
+        )
         return self._retries.count(service) + 1 <= share + earned
 
     def take(self, service: str) -> bool:
-        """Take one retry, if the budget has it."""
-        if not self.has(service):
+        """Acquire a retry; return whether the budget allowed it."""
+        if not self.allows(service):
             return False
         self._retries.add(service)
         return True
 
 
-class _Window:
-    """Counts by key in a sliding window."""
+class _SlidingWindow:
+    """Counts events by key in a sliding window."""
 
     def __init__(self, *, clock: Clock, seconds: float) -> None:
         self._clock = clock
@@ -85,41 +86,44 @@
         return len(times)
 
 
-class ColdGate:
-    """How fast this entry may send to an endpoint that is cold.
+class SlowStartGate:
+    """Rate limit for requests to endpoints in slow start.
 
-    Each entry sends one request and then waits for its part of the rate; so in
-    any second all of them send one each and the rate, which few entries may.
-    Where there are more, each begins at a random moment within its pause, and
-    the rate alone is sent.
+    Each entry VM sends a request and then waits for its share of the rate.
+    With many entry VMs the first requests are staggered at random, as all of
+    them at once would exceed the rate.
     """
 
     def __init__(self, *, clock: Clock, rng: random.Random) -> None:
-        """Create a gate that has let nothing pass."""
+        """Create a gate without recorded requests."""
         self._clock = clock
         self._rng = rng
         self._next_at_by_id: dict[str, float] = {}
 
     def is_open(self, endpoint_id: str, rate: float, entries: int) -> bool:
-        """Say whether a request may be sent now.
+        """Return whether a request may be sent now.
 
-        :param rate: requests a second from all entries
-        :param entries: how many entries may send to the endpoint
+        :param rate: requests per second, over all entry VMs
+        :param entries: number of entry VMs that may send to the endpoint
         """
         now = self._clock.monotonic()
         next_at = self._next_at_by_id.get(endpoint_id)
         if next_at is None:
             next_at = now
-            if entries > MAX_TOGETHER:
-                next_at += self._rng.uniform(0, _pause(rate, entries))
+            if entries > MAX_UNSTAGGERED_ENTRIES:
+                next_at += self._rng.uniform(
+                    0, _interval_seconds(rate, entries)
+                )
             self._next_at_by_id[endpoint_id] = next_at
         return now >= next_at
 
-    def pass_one(self, endpoint_id: str, rate: float, entries: int) -> None:
-        """Count a request."""
+    def acquire(self, endpoint_id: str, rate: float, entries: int) -> None:
+        """Record a request, which closes the gate for an interval."""
         now = self._clock.monotonic()
-        self._next_at_by_id[endpoint_id] = now + _pause(rate, entries)
-        if len(self._next_at_by_id) > MAX_KEPT:
+        self._next_at_by_id[endpoint_id] = now + _interval_seconds(
+            rate, entries
+        )
+        if len(self._next_at_by_id) > MAX_TRACKED_ENDPOINTS:
             self._next_at_by_id = {
                 name: at
                 for name, at in self._next_at_by_id.items()
@@ -127,5 +131,5 @@
             }
 
 
-def _pause(rate: float, entries: int) -> float:
-    return max(1, entries) / max(rate * SAFE_PART, MIN_RATE)
+def _interval_seconds(rate: float, entries: int) -> float:
+    return max(1, entries) / max(rate * SAFE_FRACTION, MIN_REQUESTS_PER_SECOND)
--- a/burdockdrum/passthrough/model.py
+++ b/burdockdrum/passthrough/model.py
@@ -1,4 +1,4 @@
-"""A request that is passed through, and what becomes of its attempts."""
+"""Data classes of a proxied request, its attempts and their outcomes."""
 
 from dataclasses import dataclass
 from dataclasses import field
@@ -16,12 +16,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PassedRequest:
-    """A request with its route, as it holds for its caller.
+    """A proxied request with its resolved route.
 
-    ``team`` is whose token it bears, None where none is needed.
-    ``deadline`` is when the caller gives up, or the route's timeout if that
-    comes first, on the monotonic clock. ``came_from`` is the region of the
-    entry that passed it on, None for a caller's own.
+    ``team`` is the authenticated team, None if the route needs no token.
+    ``deadline`` is the earlier of the caller's and the route's, in monotonic
+    time. ``came_from`` is the region of the entry VM that forwarded it, None
+    if it came directly from the caller. ``taken`` is what it acquired of the
+    team's quota.
     """
 
     request_id: str
@@ -40,21 +41,21 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Say whether it may run once more after it may have run."""
+        """Return whether a retry is safe after an attempt may have run."""
         route = self.route
         return route.idempotent or (route.streams and route.resumable)
 
 
 @dataclass(kw_only=True)
 class Progress:
-    """What has become of a request so far.
-
-    ``runs`` counts the attempts that may have run, ``sent`` those that
-    reached an endpoint at all. ``first_part_at`` is when the first part of
-    an answer went out, on the monotonic clock, ``longest_pause`` the most
-    seconds between two of the ``parts``. ``place`` is where the last attempt
-    went. ``has_paid_retry`` says that the next attempt
-    has been taken from the budget already.
+    """The state of a request over its attempts.
+
+    ``runs`` counts the attempts that may have run, ``sent`` those that were
+    sent at all. ``first_part_at`` is the monotonic time of the first chunk
+    sent to the caller, ``parts`` the number of chunks, ``longest_pause`` the
+    longest gap between two in seconds. ``place`` is the target of the last
+    attempt. ``has_paid_retry`` says that the next attempt has already been
+    charged to the retry budget.
     """
 
     verdict: Verdict = Verdict.NOT_RUN
@@ -72,8 +73,8 @@
     place: "Place | None" = None
     parts: int = 0
 
-    def note_part(self, now: float) -> None:
-        """Take note of a part of the answer that goes out."""
+    def record_chunk(self, now: float) -> None:
+        """Record a chunk that is sent to the caller."""
         self.parts += 1
         if self.first_part_at is None:
             self.first_part_at = now
@@ -85,14 +86,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EndpointPlace:
-    """An attempt at an endpoint of this region."""
+    """An endpoint of this region as the target of an attempt."""
 
     choice: Choice
 
 
 @dataclass(frozen=True, kw_only=True)
 class RegionPlace:
-    """An attempt through an entry of another region."""
+    """An entry VM of another region as the target of an attempt."""
 
     region: str
     address: str
@@ -105,7 +106,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Delivered:
-    """The caller has the whole answer."""
+    """The caller received the complete response."""
 
     log_name: ClassVar[str] = "Delivered"
 
@@ -114,9 +115,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Answered:
-    """An endpoint answered with a failure of its own, held back so far.
+    """An endpoint sent an error response, not yet sent to the caller.
 
-    ``runs`` is how many attempts that took, in another region.
+    ``runs`` is how many attempts another region made for it.
     """
 
     log_name: ClassVar[str] = "Answered"
@@ -128,9 +129,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NotStarted:
-    """The attempt did not run; ``reached`` says whether it arrived.
+    """The attempt did not run.
 
-    ``replaced`` says that another start has the endpoint's address.
+    ``reached`` says whether the target could be connected to, ``replaced``
+    that another incarnation has the endpoint's address.
     """
 
     log_name: ClassVar[str] = "NotStarted"
@@ -143,10 +145,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Lost:
-    """The attempt may have run and gave no whole answer.
+    """The attempt may have run but gave no complete response.
 
-    ``timed_out`` says that the time was up. ``runs`` is how many attempts
-    the other region used, None if it did not say.
+    ``timed_out`` says that the deadline passed. ``runs`` is how many attempts
+    the other region made, None if it did not report it.
     """
 
     log_name: ClassVar[str] = "Lost"
@@ -156,5 +158,5 @@
     runs: int | None = None
 
 
-# ``log_name`` is the ``outcome`` in the log: it stays if a class is renamed.
+# ``log_name`` is the log's ``outcome``; operators' tools match it.
 Outcome = Delivered | Answered | NotStarted | Lost
--- a/burdockdrum/passthrough/observed_curve.py
+++ b/burdockdrum/passthrough/observed_curve.py
@@ -1,10 +1,8 @@
-"""A curve of seconds, fitted through what was observed.
+"""Online non-negative least squares fit of durations by size.
 
-What an engine takes depends on sizes that differ by a factor of a thousand.
-Observations are kept as means by size, so that many short prompts don't wash
-out what a few long ones have shown, and the curve is a sum of features with
-coefficients of at least zero, fitted to these means by their relative error.
-A prior fills the sizes that nothing was observed of.
+Observations are kept as one mean for each bucket of sizes, so that the many
+short prompts don't outweigh the few long ones. The fit minimizes the relative
+error; a prior stands in for buckets without observations.
 """
 
 from collections.abc import Sequence
@@ -15,31 +13,28 @@
 
 Features = tuple[float, ...]
 
-# What the prior of a size counts, in observations: the second one outweighs
-# it. It keeps the curve's shape where nothing was observed.
+# Weight of a bucket's prior, in observations.
 PRIOR_WEIGHT = 0.5
-# So many observations a mean follows: at the rates of a busy service a change
-# is followed within some ten seconds.
-MEMORY = 24.0
-# After so many in a row on one side of a mean it follows twice as fast: one in
-# thirty-two such rows is chance, the others are a change.
-STREAK = 6
-MIN_MEMORY = 4.0
-# One observation counts for at most so many times the mean, or one part of
-# it: a queue that nobody knew of, or an endpoint that hangs, is no speed.
-MAX_RATIO = 2.0
-# The curve is fitted anew after so many observations: 50 us each time.
-FIT_EVERY = 16
-# At first after each.
-FIT_ALWAYS = 32
+# Limits a mean's weight, so that it follows changes of speed.
+MAX_WEIGHT = 24.0
+# After this many observations in a row on one side of a mean, its weight is
+# halved: most such streaks are a change of speed and not noise.
+STREAK_LENGTH = 6
+MIN_WEIGHT_AFTER_STREAK = 4.0
+# Clips an observation's ratio to the mean: outliers come from unknown queues
+# or endpoints that hang.
+MAX_OBSERVATION_RATIO = 2.0
+# The curve is fitted after each of the first INITIAL_FITS observations, later
+# only once per FIT_INTERVAL, as a fit is far costlier than an update.
+FIT_INTERVAL = 16
+INITIAL_FITS = 32
 
 
 @dataclass(kw_only=True)
-class _Mean:
-    """The mean of the observations of one size.
+class _SizeMean:
+    """The mean of one bucket's observations.
 
-    That of the seconds is geometric: one that took far longer than the
-    others counts for little.
+    The mean of the seconds is geometric, which limits the effect of outliers.
     """
 
     features: list[float]
@@ -52,38 +47,46 @@
     def is_observed(self) -> bool:
         return self.weight > PRIOR_WEIGHT
 
-    def take(self, features: Features, seconds: float) -> None:
+    def update(self, features: Features, seconds: float) -> None:
         ratio = seconds / self.seconds
-        clipped = min(max(ratio, 1 / MAX_RATIO), MAX_RATIO)
+        clipped = min(
+            max(ratio, 1 / MAX_OBSERVATION_RATIO), MAX_OBSERVATION_RATIO
+        )
         self._count_streak(ratio)
-        self.weight = min(self.weight + 1.0, MEMORY)
+        self.weight = min(self.weight + 1.0, MAX_WEIGHT)
         gain = 1.0 / self.weight if self.weight > 1.0 else 1.0
         self.seconds *= clipped**gain
-        for place, value in enumerate(features):
-            self.features[place] += gain * (value - self.features[place])
+        for index, value in enumerate(features):
+            self.features[index] += gain * (value - self.features[index])
 
     def _count_streak(self, ratio: float) -> None:
         step = 1 if ratio > 1 else -1
         self.streak = self.streak + step if self.streak * step > 0 else step
-        if abs(self.streak) >= STREAK:
+        if abs(self.streak) >= STREAK_LENGTH:
             self.streak = 0
-            self.weight = max(self.weight / 2, min(self.weight, MIN_MEMORY))
+            self.weight = max(
+                self.weight / 2, min(self.weight, MIN_WEIGHT_AFTER_STREAK)
+            )
 
 
 class ObservedCurve:
-    """Seconds as a sum of features, each times what it was seen to cost."""
+    """Predicts seconds as a linear combination of features."""
 
     def __init__(
-        self, *, prior: dict[int, tuple[Features, float]], needed: int
+        self,
+        *,
+        prior: dict[int, tuple[Features, float]],
+        required_feature: int,
     ) -> None:
-        """Create a curve that follows a prior.
+        """Create a curve fitted to a prior.
 
-        :param prior: features and seconds by the key of a size
-        :param needed: the place of a feature that always costs something
+        :param prior: features and seconds by bucket key
+        :param required_feature: index of a feature whose coefficient must be
+            positive
         """
-        self._needed = needed
+        self._required_feature = required_feature
         self._means_by_key = {
-            key: _Mean(
+            key: _SizeMean(
                 features=list(features),
                 prior=seconds,
                 seconds=seconds,
@@ -91,12 +94,12 @@
             )
             for key, (features, seconds) in prior.items()
         }
-        self._unfitted = 0
+        self._unfitted_observations = 0
         self._observations = 0
         self.coefficients: Features = self._fit()
 
     def seconds(self, features: Features) -> float:
-        """Return what is expected for some features."""
+        """Return the predicted seconds for some features."""
         return sum(
             value * coefficient
             for value, coefficient in zip(
@@ -104,67 +107,70 @@
             )
         )
 
-    def note(self, key: int, features: Features, seconds: float) -> None:
-        """Take note of what something took.
+    def record(self, key: int, features: Features, seconds: float) -> None:
+        """Record an observation.
 
-        :param key: of its size, one of the prior's
+        :param key: the bucket, one of the prior's keys
         """
-        self._means_by_key[key].take(features, seconds)
-        self._unfitted += 1
+        self._means_by_key[key].update(features, seconds)
+        self._unfitted_observations += 1
         self._observations += 1
-        if self._unfitted >= FIT_EVERY or self._observations <= FIT_ALWAYS:
-            self._unfitted = 0
+        if (
+            self._unfitted_observations >= FIT_INTERVAL
+            or self._observations <= INITIAL_FITS
+        ):
+            self._unfitted_observations = 0
             self.coefficients = self._fit()
 
     def _fit(self) -> Features:
-        """Return the best coefficients of at least zero.
+        """Return the non-negative coefficients of least error.
 
-        With two or three features every subset can be tried: the one of
-        least error whose coefficients are all positive is the best. Where
-        none has the needed feature, as when a mean stands for two speeds,
-        the coefficients stay as they were.
+        Tries every subset of the two or three features and keeps the best
+        one whose coefficients are all positive. If none of them includes the
+        required feature, the previous coefficients stay.
         """
         means = self._scale_unobserved()
-        number = len(means[0].features)
+        feature_count = len(means[0].features)
         best: Features | None = None
-        least = float("inf")
-        for size in range(number, 0, -1):
-            for chosen in itertools.combinations(range(number), size):
-                if self._needed not in chosen:
+        least_error = float("inf")
+        for size in range(feature_count, 0, -1):
+            for chosen in itertools.combinations(range(feature_count), size):
+                if self._required_feature not in chosen:
                     continue
-                found = _solve(means, chosen)
-                if found is None or min(found) <= 0:
+                solution = _solve(means, chosen)
+                if solution is None or min(solution) <= 0:
                     continue
-                full = [0.0] * number
-                for place, value in zip(chosen, found, strict=True):
-                    full[place] = value
-                error = _error(means, full)
-                if error < least:
-                    best, least = tuple(full), error
+                candidate = [0.0] * feature_count
+                for index, value in zip(chosen, solution, strict=True):
+                    candidate[index] = value
+                error = _error(means, candidate)
+                if error < least_error:
+                    best, least_error = tuple(candidate), error
         return best if best is not None else self.coefficients
 
-    def _scale_unobserved(self) -> list[_Mean]:
-        """Return the means; what was not observed differs like the rest.
+    def _scale_unobserved(self) -> list[_SizeMean]:
+        """Return the means, with unobserved buckets scaled like the others.
 
-        An engine that takes twice as long for some sizes does so for others:
-        the first long prompts after a start are not taken for short ones.
+        An engine that is slower than the prior at some sizes is slower at the
+        others too; without this the first long prompts after a start would be
+        underestimated.
         """
         means = list(self._means_by_key.values())
-        seen = [mean for mean in means if mean.is_observed]
-        total = sum(mean.weight for mean in seen)
+        observed = [mean for mean in means if mean.is_observed]
+        total = sum(mean.weight for mean in observed)
         if not total:
             return means
-        logs = [m.weight * math.log(m.seconds / m.prior) for m in seen]
-        times = math.exp(sum(logs) / total)
+        logs = [m.weight * math.log(m.seconds / m.prior) for m in observed]
+        scale = math.exp(sum(logs) / total)
         return [
             mean
             if mean.is_observed
-            else replace(mean, seconds=mean.prior * times)
+            else replace(mean, seconds=mean.prior * scale)
             for mean in means
         ]
 
 
-def _error(means: list[_Mean], coefficients: Sequence[float]) -> float:
+def _error(means: list[_SizeMean], coefficients: Sequence[float]) -> float:
     total = 0.0
     for mean in means:
         expected = sum(
@@ -177,12 +183,17 @@
     return total
 
 
-def _solve(means: list[_Mean], chosen: Sequence[int]) -> list[float] | None:
-    """Return the least squares of the relative error, None if undecided."""
+def _solve(
+    means: list[_SizeMean], chosen: Sequence[int]
+) -> list[float] | None:
+    """Return the weighted least squares solution, None if singular.
+
+    :param chosen: indexes of the features to use
+    """
     size = len(chosen)
     rows = [[0.0] * (size + 1) for _ in range(size)]
     for mean in means:
-        scaled = [mean.features[place] / mean.seconds for place in chosen]
+        scaled = [mean.features[index] / mean.seconds for index in chosen]
         for i in range(size):
             for j in range(size):
                 rows[i][j] += mean.weight * scaled[i] * scaled[j]
@@ -191,7 +202,7 @@
 
 
 def _eliminate(rows: list[list[float]]) -> list[float] | None:
-    """Solve linear equations by elimination with row exchange."""
+    """Solve linear equations by Gauss-Jordan elimination with pivoting."""
     size = len(rows)
     for column in range(size):
         pivot = max(range(column, size), key=lambda r: abs(rows[r][column]))
--- a/burdockdrum/passthrough/patience.py
+++ b/burdockdrum/passthrough/patience.py
@@ -1,12 +1,9 @@
-"""How long an attempt is waited for before another is made.
+"""Timeouts of attempts that may be retried.
 
-Where another attempt is allowed, one that gives nothing for far longer than
-usual is given up; its connection is closed, so that a slow endpoint stops
-working on it.
-
-Under load every endpoint is slow, and what waits in a queue would lose its
-place there for none elsewhere: an attempt is only given up once another
-place would take the request at that moment, and a retry is paid for.
+An attempt without output for far longer than usual is aborted and retried
+elsewhere. Under load every endpoint is slow, so that it is only aborted if
+another target would accept the request now and the retry budget allows it:
+otherwise it would lose its place in a queue for nothing.
 """
 
 import asyncio
@@ -20,114 +17,120 @@
 from burdockdrum.passthrough.model import Progress
 from burdockdrum.settings import MechanismSettings
 
-# Of the wait that was expected.
-EXPECTED_TIMES = 3
-# Between two parts of a stream that may go on elsewhere. Callers leave after
-# two seconds or more; a step takes 27 ms at the most.
-BETWEEN_PARTS_SECONDS = 1.5
-# There and back to another region, twice for a connection.
-HOP_EXTRA_SECONDS = 0.3
-# A silent attempt that has nowhere to go is looked at again so often.
-LOOK_AGAIN_SECONDS = 0.25
+# Multiple of the expected wait after which an attempt times out.
+EXPECTED_WAIT_FACTOR = 3
+# Below the two seconds after which callers abandon a stream, and far above the
+# time of an engine's step.
+STREAM_IDLE_TIMEOUT_SECONDS = 1.5
+# Two round trips to another region, one of them for the connection.
+HOP_MARGIN_SECONDS = 0.3
+# How often an idle attempt without an alternative is checked again.
+RECHECK_INTERVAL_SECONDS = 0.25
 
-HasOther = Callable[[PassedRequest, Progress, Place], bool]
+HasAlternative = Callable[[PassedRequest, Progress, Place], bool]
 
 
-class SilenceWatch:
-    """Give an attempt up once it has given nothing for too long."""
+class AttemptWatchdog:
+    """Aborts an attempt that has been idle for too long."""
 
     def __init__(
         self,
         *,
-        seconds: float,
-        seconds_between: float,
-        may_leave: Callable[[], bool],
-        give_up: Callable[[str], None],
+        first_part_timeout_seconds: float,
+        idle_timeout_seconds: float,
+        may_retry: Callable[[], bool],
+        abort: Callable[[str], None],
     ) -> None:
-        """Watch from now on; a loop must be running.
+        """Start the timer; requires a running event loop.
 
-        :param seconds: until the first part of the answer
-        :param seconds_between: between two parts
-        :param may_leave: whether there is another way at that moment
-        :param give_up: ends the attempt, with the reason
+        :param first_part_timeout_seconds: until the first chunk of the
+            response
+        :param idle_timeout_seconds: between two chunks
+        :param may_retry: returns whether a retry is possible now
+        :param abort: aborts the attempt, with the reason
         """
         self._loop = asyncio.get_running_loop()
-        self._between = seconds_between
-        self._may_leave = may_leave
-        self._give_up = give_up
-        self._limit_at = self._loop.time() + seconds
-        self._timer = self._loop.call_at(self._limit_at, self._look)
+        self._idle_timeout_seconds = idle_timeout_seconds
+        self._may_retry = may_retry
+        self._abort = abort
+        self._expires_at = self._loop.time() + first_part_timeout_seconds
+        self._timer = self._loop.call_at(self._expires_at, self._check)
 
-    def note_part(self) -> None:
-        """Take note that a part has come."""
-        self._limit_at = self._loop.time() + self._between
+    def record_chunk(self) -> None:
+        """Restart the idle timeout after a chunk was received."""
+        self._expires_at = self._loop.time() + self._idle_timeout_seconds
 
     def stop(self) -> None:
-        """Watch no longer."""
+        """Cancel the timer."""
         self._timer.cancel()
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         now = self._loop.time()
-        next_at = self._limit_at
-        if now >= self._limit_at:
-            if self._may_leave():
-                self._give_up("gave nothing")
+        next_at = self._expires_at
+        if now >= self._expires_at:
+            if self._may_retry():
+                self._abort("received no data")
                 return
-            next_at = now + LOOK_AGAIN_SECONDS
-        self._timer = self._loop.call_at(next_at, self._look)
+            next_at = now + RECHECK_INTERVAL_SECONDS
+        self._timer = self._loop.call_at(next_at, self._check)
 
 
 class Patience:
-    """Say how long to wait for an attempt."""
+    """Computes timeouts of attempts and creates their watchdogs."""
 
     def __init__(
         self,
         *,
         fleet: Fleet,
         budget: RetryBudget,
-        has_other: HasOther,
+        has_other: HasAlternative,
         mechanisms: MechanismSettings | None = None,
     ) -> None:
-        """Create it over what is usual and what is allowed.
+        """Create the policy.
 
-        :param has_other: says whether another place would take a request
-        :param mechanisms: the parts of the policy that are in use; all
+        :param fleet: provides usual run times
+        :param budget: charged for each retry
+        :param has_other: returns whether another target would accept a
+            request
+        :param mechanisms: the enabled parts of the policy; default all
         """
         self._mechanisms = mechanisms or MechanismSettings()
         self._fleet = fleet
         self._budget = budget
         self._has_other = has_other
 
-    def watch(
+    def start_watchdog(
         self,
         place: Place,
         request: PassedRequest,
         progress: Progress,
-        give_up: Callable[[str], None],
-    ) -> SilenceWatch | None:
-        """Watch an attempt, if another one may follow it."""
+        abort: Callable[[str], None],
+    ) -> AttemptWatchdog | None:
+        """Start a watchdog for an attempt, None if it can't be retried."""
         if not self._mechanisms.silence_given_up:
             return None
         if not request.may_repeat or progress.runs + 1 >= request.attempts:
             return None
-        return SilenceWatch(
-            seconds=self.until_first_part(place, request),
-            seconds_between=BETWEEN_PARTS_SECONDS,
-            may_leave=lambda: self._may_leave(place, request, progress),
-            give_up=give_up,
+        return AttemptWatchdog(
+            first_part_timeout_seconds=self.first_part_timeout(place, request),
+            idle_timeout_seconds=STREAM_IDLE_TIMEOUT_SECONDS,
+            may_retry=lambda: self._acquire_retry(place, request, progress),
+            abort=abort,
         )
 
-    def until_first_part(self, place: Place, request: PassedRequest) -> float:
-        """Return after how many seconds an attempt counts as silent."""
-        usual = self._fleet.mute_seconds(request.backend.name)
+    def first_part_timeout(
+        self, place: Place, request: PassedRequest
+    ) -> float:
+        """Return the seconds to wait for the first chunk."""
+        usual = self._fleet.stall_timeout_seconds(request.backend.name)
         if isinstance(place, EndpointPlace):
             wait = place.choice.wait
             expected = wait.queue + wait.own
-            return max(usual, expected * EXPECTED_TIMES)
-        expected = place.wait_seconds * EXPECTED_TIMES
-        return max(usual, expected) + HOP_EXTRA_SECONDS
+            return max(usual, expected * EXPECTED_WAIT_FACTOR)
+        expected = place.wait_seconds * EXPECTED_WAIT_FACTOR
+        return max(usual, expected) + HOP_MARGIN_SECONDS
 
-    def _may_leave(
+    def _acquire_retry(
         self, place: Place, request: PassedRequest, progress: Progress
     ) -> bool:
         if not self._has_other(request, progress, place):
--- a/burdockdrum/passthrough/placing.py
+++ b/burdockdrum/passthrough/placing.py
@@ -1,4 +1,8 @@
-"""Choose where a request is tried next: here, or in another region."""
+"""Select the target of a request's next attempt, or refuse the request.
+
+Compares the best local endpoint with other regions (spill-over) and sheds
+load that would miss its latency objective.
+"""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -21,28 +25,28 @@
 from burdockdrum.verdicts import Refusal
 from burdockdrum.verdicts import RefusalCode
 
-# Sums of load are half a second old and all entries see the same ones: a
-# region must look better by this much before work is sent there, or all
-# would send at once.
+# How much better another region must be. All entry VMs see the same load
+# reports, half a second old, and would otherwise move there all at once.
 SPILL_MARGIN_SECONDS = 0.15
-# Where no endpoint may take a request the next check-in may change that.
-RETRY_AFTER_NONE = 1.0
-# How much longer a queue may seem in another region, if there is none here.
-DOUBT_TIMES = 3
-# What is expected within this part of the objective stays here: bytes
-# between regions are paid for, and the prompt would be read anew there.
-SPILL_PART = 0.5
-MIN_RETRY_SECONDS = 0.3
-# What is late already is served where that takes little from others.
+# Retry-After if no endpoint is eligible; the next heartbeat may change that.
+NO_ENDPOINT_RETRY_AFTER_SECONDS = 1.0
+# Factor by which a remote queue may exceed the limit if there is no local
+# endpoint: load reports are stale, and the other region can still refuse.
+REMOTE_QUEUE_FACTOR = 3
+# Requests expected within this fraction of the latency objective stay local:
+# traffic between regions costs money and loses cached prefixes.
+SPILL_OBJECTIVE_FRACTION = 0.5
+MIN_RETRY_AFTER_SECONDS = 0.3
+# Queue limit of requests that have already missed their objective.
 MIN_QUEUE_SECONDS = 0.1
-# Long prompts take up their objective by themselves: they may wait for so
-# much of it nevertheless.
-MIN_QUEUE_PART = 0.25
-MAX_RETRY_SECONDS = 3.0
+# Fraction of the objective that a request may always queue, as the prefill of
+# a long prompt alone can exceed the objective.
+MIN_QUEUE_FRACTION = 0.25
+MAX_RETRY_AFTER_SECONDS = 3.0
 
 
 class Placing:
-    """Choose among the endpoints here and the entries of other regions."""
+    """Selects among local endpoints and entry VMs of other regions."""
 
     def __init__(
         self,
@@ -60,13 +64,14 @@
     ) -> None:
         """Create it for a region.
 
-        :param read_rooms: returns what each region has under way
-        :param read_entries: returns the live entries of other regions
-        :param read_closed: returns the data centres that get no new work
-        :param hop_address: returns where an entry takes what is passed on
-        :param mechanisms: the parts of the policy that are in use; all
-        :param crossing_seconds: what a megabyte to another region counts
-            against seconds of waiting
+        :param read_rooms: returns the load and capacity of each region
+        :param read_entries: returns the live entry VMs of other regions
+        :param read_closed: returns the data centres that get no new requests
+        :param hop_address: returns where an entry VM accepts forwarded
+            requests
+        :param mechanisms: the enabled parts of the policy; default all
+        :param crossing_seconds: seconds of waiting that equal the cost of
+            sending a megabyte to another region
         """
         self._mechanisms = mechanisms or MechanismSettings()
         self._clock = clock
@@ -86,30 +91,32 @@
         self._hop_address = hop_address
 
     def place(self, request: PassedRequest, progress: Progress) -> Place:
-        """Choose the next place.
+        """Select the target of the next attempt.
 
-        :raises Refusal: with the verdict so far, if there is none
+        :raises Refusal: with the verdict so far, if no target accepts it
         """
-        here = self._choose_here(request, progress)
-        elsewhere = self._choose_region(request, progress, here)
-        if elsewhere is not None:
-            return elsewhere
-        left = request.deadline - self._clock.monotonic()
-        if here is None:
-            known = self._fleet.count_live(request.backend.name)
-            reason = f"none of {known} endpoints here may take it"
-            raise self._refuse(request, progress, reason, RETRY_AFTER_NONE)
-        allowed = self._allowed_queue(request, left, here.wait)
-        queue = here.wait.queue
+        local = self._choose_local(request, progress)
+        remote = self._choose_region(request, progress, local)
+        if remote is not None:
+            return remote
+        remaining = request.deadline - self._clock.monotonic()
+        if local is None:
+            live_count = self._fleet.count_live(request.backend.name)
+            reason = f"none of {live_count} local endpoints is eligible"
+            raise self._refuse(
+                request, progress, reason, NO_ENDPOINT_RETRY_AFTER_SECONDS
+            )
+        allowed = self._max_queue_seconds(request, remaining, local.wait)
+        queue = local.wait.queue
         if queue > allowed:
-            reason = f"queue of {queue:.2f} s, {allowed:.2f} s are allowed"
+            reason = f"queue of {queue:.2f} s exceeds {allowed:.2f} s"
             raise self._refuse(request, progress, reason, queue - allowed)
-        return EndpointPlace(choice=here)
+        return EndpointPlace(choice=local)
 
     def has_other(
         self, request: PassedRequest, progress: Progress, place: Place
     ) -> bool:
-        """Say whether a request would be taken now at another place."""
+        """Return whether another target would accept the request now."""
         tried, regions = set(progress.tried), set(progress.tried_regions)
         match place:
             case EndpointPlace(choice=choice):
@@ -117,32 +124,39 @@
             case RegionPlace(vm_id=vm_id, region=region):
                 tried.add(vm_id)
                 regions.add(region)
-        later = replace(progress, tried=tried, tried_regions=regions)
+        next_progress = replace(progress, tried=tried, tried_regions=regions)
         try:
-            self.place(request, later)
+            self.place(request, next_progress)
         except Refusal:
             return False
         return True
 
-    def _allowed_queue(
-        self, request: PassedRequest, left: float, wait: Wait
+    def _max_queue_seconds(
+        self, request: PassedRequest, remaining: float, wait: Wait
     ) -> float:
-        """Return how long a request may wait for what came before it.
+        """Return how many seconds a request may queue.
 
-        What would be late by all that is expected is refused at once, so that
-        those who are served are served in time; while it is not late already,
-        and not longer than it has.
+        A request that would miss its objective is refused early, so that it
+        doesn't delay those that can still be served in time.
 
-        :param wait: what is expected at the place in question
+        :param remaining: seconds until the caller's deadline
+        :param wait: the expected wait at the target
         """
         if not self._mechanisms.early_refusal:
-            return left
+            return remaining
         passed = self._clock.monotonic() - request.received_at
-        due = request.route.objective_seconds - passed
-        rest = due - wait.own - wait.usual_error
-        return min(left, max(rest, due * MIN_QUEUE_PART, MIN_QUEUE_SECONDS))
+        seconds_to_objective = request.route.objective_seconds - passed
+        rest = seconds_to_objective - wait.own - wait.expected_error
+        return min(
+            remaining,
+            max(
+                rest,
+                seconds_to_objective * MIN_QUEUE_FRACTION,
+                MIN_QUEUE_SECONDS,
+            ),
+        )
 
-    def _choose_here(
+    def _choose_local(
         self, request: PassedRequest, progress: Progress
     ) -> Choice | None:
         homes = request.route.homes
@@ -162,29 +176,31 @@
         self,
         request: PassedRequest,
         progress: Progress,
-        here: Choice | None,
+        local: Choice | None,
     ) -> RegionPlace | None:
         if request.came_from is not None:
-            # One hop only: two regions that each think that the other has
-            # room would pass a request to and fro.
+            # Forwarding loop: two regions that each see free capacity in the
+            # other would send a request back and forth.
             return None
         limit = float("inf")
-        if here is not None:
+        if local is not None:
             if not self._mechanisms.region_spill:
                 return None
-            enough = request.route.objective_seconds * SPILL_PART
-            if here.wait.total <= enough:
+            spill_threshold = (
+                request.route.objective_seconds * SPILL_OBJECTIVE_FRACTION
+            )
+            if local.wait.total <= spill_threshold:
                 return None
-            limit = here.wait.total - SPILL_MARGIN_SECONDS
-        left = request.deadline - self._clock.monotonic()
+            limit = local.wait.total - SPILL_MARGIN_SECONDS
+        remaining = request.deadline - self._clock.monotonic()
         for wait, region in self._regions.rate(request, progress):
             if wait.total >= limit:
                 return None
-            allowed = self._allowed_queue(request, left, wait)
-            if here is None:
-                # What is known of other regions is half a second old. They
-                # refuse for themselves what they have no room for.
-                allowed = min(left, allowed * DOUBT_TIMES)
+            allowed = self._max_queue_seconds(request, remaining, wait)
+            if local is None:
+                # The load reports are stale; the other region refuses the
+                # request itself if it has no free capacity.
+                allowed = min(remaining, allowed * REMOTE_QUEUE_FACTOR)
             if wait.queue > allowed:
                 continue
             entry = self._choose_entry(region, progress)
@@ -220,5 +236,7 @@
             code=RefusalCode.OVERLOADED,
             message=f"{request.backend.name}: {reason}",
             verdict=progress.verdict,
-            retry_after=min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, wait)),
+            retry_after=min(
+                MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, wait)
+            ),
         )
--- a/burdockdrum/passthrough/rating.py
+++ b/burdockdrum/passthrough/rating.py
@@ -1,4 +1,8 @@
-"""Rate an endpoint for a request."""
+"""Estimate how long a request would wait at an endpoint.
+
+Combines the load, the engine's speed, cached prefixes and penalties into the
+wait by which endpoints are compared.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,41 +15,42 @@
 from burdockdrum.passthrough.estimate_errors import EstimateErrors
 from burdockdrum.passthrough.prompts import Prompt
 from burdockdrum.passthrough.tracks import Choice
-from burdockdrum.passthrough.tracks import Track
+from burdockdrum.passthrough.tracks import EndpointState
+from burdockdrum.passthrough.waiting import decode_risk_seconds
 from burdockdrum.passthrough.waiting import estimate_queue
 from burdockdrum.passthrough.waiting import preemption_seconds
-from burdockdrum.passthrough.waiting import RECENT_SECONDS
+from burdockdrum.passthrough.waiting import RECENT_WINDOW_SECONDS
 from burdockdrum.passthrough.waiting import Wait
-from burdockdrum.passthrough.waiting import writing_risk
 from burdockdrum.registrations import Load
 from burdockdrum.registrations import RegisteredEndpoint
 from burdockdrum.resources import Backend
 from burdockdrum.resources import Route
 from burdockdrum.settings import MechanismSettings
 
-# What an endpoint must be better by than the one that a beginning belongs
-# to, while nobody is known to hold it: entries that don't know of each
-# other's choice make the same one, and it is read once and not several times.
-HOME_SECONDS = 0.1
-# How many times as long a transfer takes between data centres.
+# Penalty for endpoints other than a prefix's home (chosen by hash) while no
+# endpoint is known to have it cached. Makes entry VMs choose the same endpoint
+# without communication, so that the prefix is computed only once.
+HOME_PENALTY_SECONDS = 0.1
+# How much longer a transfer takes between data centres.
 FAR_TIMES = 2.0
-_BYTES_A_MEGABYTE = 1_000_000
-# The headers of a request and of its answer, and a short body of the latter.
-EXCHANGE_BYTES = 2000
-# A silent endpoint is tried where no other one is as good by far.
-SILENT_PENALTY_SECONDS = 1.0
-# So is one that fails: another region is nearer than that.
-SET_ASIDE_PENALTY_SECONDS = 1.0
+_BYTES_PER_MEGABYTE = 1_000_000
+# Headers of a request and its response, and a short response body.
+EXCHANGE_OVERHEAD_BYTES = 2000
+# Penalty of an endpoint that misses its heartbeats.
+MISSED_HEARTBEAT_PENALTY_SECONDS = 1.0
+# Penalty of an ejected or stalled endpoint; larger than that of using another
+# region.
+EJECTED_PENALTY_SECONDS = 1.0
 
 
 @dataclass(frozen=True, kw_only=True)
-class Wanted:
-    """What an endpoint is wanted for.
+class RatedRequest:
+    """A request and what its ratings at all endpoints have in common.
 
-    ``seconds_left`` is how long the caller will wait, ``run_seconds`` what a
-    request of the service takes. ``body_bytes`` are sent to the endpoint.
-    Most endpoints hold the same of a prompt, or nothing: what is worked out
-    for one is kept in ``reading_seconds_by_unread``.
+    ``seconds_left`` is the time until the caller's deadline, ``run_seconds``
+    how long a request of the service holds a slot on average.
+    ``prefill_seconds_by_unread`` caches prefill times by uncached tokens, as
+    most endpoints have the same tokens of a prompt cached.
     """
 
     route: Route
@@ -56,11 +61,11 @@
     run_seconds: float
     errors: EstimateErrors
     body_bytes: int = 0
-    reading_seconds_by_unread: dict[int, float] = field(default_factory=dict)
+    prefill_seconds_by_unread: dict[int, float] = field(default_factory=dict)
 
 
-class Rater:
-    """Estimate a request's wait at an endpoint by what is known of it."""
+class EndpointRater:
+    """Estimates a request's wait at an endpoint of this region."""
 
     def __init__(
         self,
@@ -75,12 +80,14 @@
     ) -> None:
         """Create it.
 
-        :param read_load: returns what other entries have at an endpoint
-        :param read_unheard: returns how many entries tell nothing
+        :param read_load: returns the load of other entry VMs at an endpoint
+        :param read_unheard: returns how many entry VMs report no load
         :param read_region: returns the region of a data centre
-        :param data_centre: where this entry is, None if it doesn't matter
-        :param crossing_seconds: how much sooner an answer must come for each
-            megabyte that is sent to another data centre
+        :param mechanisms: the enabled parts of the policy
+        :param data_centre: the data centre of this entry VM, None to ignore
+            the cost of crossings
+        :param crossing_seconds: penalty for each megabyte that is sent to
+            another data centre
         """
         self._data_centre = data_centre
         self._crossing_seconds = crossing_seconds
@@ -93,125 +100,130 @@
     def rate(
         self,
         endpoint: RegisteredEndpoint,
-        track: Track,
-        wanted: Wanted,
+        state: EndpointState,
+        request: RatedRequest,
         held_tokens: int,
         now: float,
         *,
-        is_doubtful: bool,
+        is_suspect: bool,
     ) -> Choice:
-        """Return what a request would meet at an endpoint.
+        """Return the estimated wait of a request at an endpoint.
 
-        :param held_tokens: what the endpoint holds of the prompt
-        :param is_doubtful: whether its answers fail or fail to come
+        :param held_tokens: tokens of the prompt that the endpoint has cached
+        :param is_suspect: whether the endpoint is ejected or stalled
         """
-        load = self._load(endpoint, track, now)
-        fetch = self._find_fetch(endpoint, wanted, held_tokens)
-        unread = wanted.prompt.tokens - held_tokens
+        load = self._load(endpoint, state, now)
+        fetch = self._find_fetch(endpoint, request, held_tokens)
+        unread = request.prompt.tokens - held_tokens
         if fetch is not None:
             unread -= fetch.tokens
-        pace = self._pace(wanted.backend.name, endpoint, load)
+        offered_load = self._offered_load(request.backend.name, endpoint, load)
         return Choice(
             endpoint=endpoint,
             wait=Wait(
-                queue=self._queue(endpoint, load, wanted),
-                own=self._own(endpoint, wanted, unread, fetch),
-                penalty=self._penalty(endpoint, wanted, is_doubtful)
-                + self._preemption(endpoint, load, wanted)
-                + self._writing_risk(wanted, pace)
-                + self._crossing(endpoint, wanted),
-                usual_error=self._usual_error(wanted, pace),
+                queue=self._queue(endpoint, load, request),
+                own=self._own_seconds(endpoint, request, unread, fetch),
+                penalty=self._penalty(endpoint, request, is_suspect)
+                + self._preemption(endpoint, load, request)
+                + self._decode_risk(request, offered_load)
+                + self._crossing(endpoint, request),
+                expected_error=self._expected_error(request, offered_load),
             ),
             unread_tokens=unread,
             fetch=fetch,
-            pace=pace,
-            ahead_tokens=load.unread_tokens,
-            busy=min(1.0, pace),
+            offered_load=offered_load,
+            queued_tokens=load.unread_tokens,
+            prefill_share=min(1.0, offered_load),
         )
 
     def _load(
-        self, endpoint: RegisteredEndpoint, track: Track, now: float
+        self, endpoint: RegisteredEndpoint, state: EndpointState, now: float
     ) -> Load:
         token_seconds = self._engines.token_seconds(endpoint.service)
-        load = track.load(
+        load = state.load(
             now,
             token_seconds,
             counts_progress=self._mechanisms.reading_progress,
         )
         if not self._mechanisms.shared_loads:
             return load
-        unheard = self._read_unheard()
-        if unheard:
-            load = load.times(unheard + 1)
+        unreported = self._read_unheard()
+        if unreported:
+            load = load.times(unreported + 1)
         load.merge(self._read_load(endpoint.endpoint_id))
         return load
 
     def _queue(
-        self, endpoint: RegisteredEndpoint, load: Load, wanted: Wanted
+        self, endpoint: RegisteredEndpoint, load: Load, request: RatedRequest
     ) -> float:
-        service = wanted.backend.name
-        factor = self._engines.factor(service, endpoint.endpoint_id)
+        service = request.backend.name
+        factor = self._engines.time_factor(service, endpoint.endpoint_id)
         queue = estimate_queue(
             load,
-            rank=wanted.route.rank,
+            rank=request.route.rank,
             slots=endpoint.slots,
-            run_seconds=wanted.run_seconds,
+            run_seconds=request.run_seconds,
             token_seconds=self._engines.token_seconds(service),
-            counts_coming=self._mechanisms.urgent_share,
+            counts_arrivals=self._mechanisms.urgent_share,
+        )
+        # Prefers the less loaded of several endpoints with free slots.
+        utilization = load.requests / endpoint.slots
+        return (
+            queue * factor + utilization * request.run_seconds / endpoint.slots
         )
-        # Between endpoints with room the emptier one answers sooner.
-        filled = load.requests / endpoint.slots
-        return queue * factor + filled * wanted.run_seconds / endpoint.slots
 
-    def _own(
+    def _own_seconds(
         self,
         endpoint: RegisteredEndpoint,
-        wanted: Wanted,
+        request: RatedRequest,
         unread: int,
         fetch: Fetch | None,
     ) -> float:
-        backend = wanted.backend
+        backend = request.backend
         if backend.engine is None:
             return 0.0
         engines = self._engines
-        reading = self._reading_seconds(wanted, unread)
-        reading += engines.first_seconds(backend.name)
-        factor = engines.factor(backend.name, endpoint.endpoint_id)
+        prefill = self._prefill_seconds(request, unread)
+        prefill += engines.first_seconds(backend.name)
+        factor = engines.time_factor(backend.name, endpoint.endpoint_id)
         fetching = engines.fetch_seconds(backend.name, fetch)
-        return reading * factor + fetching
+        return prefill * factor + fetching
 
-    def _reading_seconds(self, wanted: Wanted, unread: int) -> float:
-        known = wanted.reading_seconds_by_unread.get(unread)
-        if known is None:
-            known = self._engines.reading_seconds(
-                wanted.backend.name, wanted.prompt, unread
+    def _prefill_seconds(self, request: RatedRequest, unread: int) -> float:
+        cached = request.prefill_seconds_by_unread.get(unread)
+        if cached is None:
+            cached = self._engines.reading_seconds(
+                request.backend.name, request.prompt, unread
             )
-            wanted.reading_seconds_by_unread[unread] = known
-        return known
+            request.prefill_seconds_by_unread[unread] = cached
+        return cached
 
-    def reading_tokens(self, wanted: Wanted, unread: int) -> float:
-        """Return what reading a prompt counts in an endpoint's load.
+    def reading_tokens(self, request: RatedRequest, unread: int) -> float:
+        """Return the prefill cost of a prompt in tokens of short prompts.
 
-        Pairs of tokens add to the time of a long prompt; this counts them as
-        tokens that take as long.
+        Attention makes a token of a long prompt costlier than one of a short
+        prompt.
         """
-        service = wanted.backend.name
-        if wanted.backend.engine is None:
+        service = request.backend.name
+        if request.backend.engine is None:
             return 0.0
         if not self._mechanisms.long_prompt_cost:
             return float(unread)
-        seconds = self._reading_seconds(wanted, unread)
+        seconds = self._prefill_seconds(request, unread)
         return seconds / self._engines.token_seconds(service)
 
     def _find_fetch(
-        self, endpoint: RegisteredEndpoint, wanted: Wanted, held_tokens: int
+        self,
+        endpoint: RegisteredEndpoint,
+        request: RatedRequest,
+        held_tokens: int,
     ) -> Fetch | None:
-        """Return what an endpoint should fetch of a prompt, if anything."""
-        holder = wanted.beginning.holder
-        tokens = wanted.beginning.fetchable(endpoint.endpoint_id, held_tokens)
+        """Return the prefix fetch that an endpoint should make, if any."""
+        holder = request.beginning.holder
+        tokens = request.beginning.fetchable(endpoint.endpoint_id, held_tokens)
         if holder is None or not tokens:
             return None
-        seconds = link_seconds(wanted.backend, tokens)
+        seconds = link_seconds(request.backend, tokens)
         if holder.data_centre != endpoint.data_centre:
             seconds *= FAR_TIMES
         here, there = endpoint.data_centre, holder.data_centre
@@ -222,62 +234,71 @@
             is_far=self._read_region(here) != self._read_region(there),
         )
 
-    def _pace(
+    def _offered_load(
         self, service: str, endpoint: RegisteredEndpoint, load: Load
     ) -> float:
-        """Return how much reading is sent to an endpoint in a second."""
+        """Return the seconds of prefill sent to an endpoint per second."""
         seconds = load.recent_tokens * self._engines.token_seconds(service)
-        factor = self._engines.factor(service, endpoint.endpoint_id)
-        return seconds * factor / RECENT_SECONDS
+        factor = self._engines.time_factor(service, endpoint.endpoint_id)
+        return seconds * factor / RECENT_WINDOW_SECONDS
 
-    def _writing_risk(self, wanted: Wanted, busy: float) -> float:
+    def _decode_risk(
+        self, request: RatedRequest, prefill_share: float
+    ) -> float:
         is_on = self._mechanisms.writing_risk
-        if wanted.backend.engine is None or not is_on:
+        if request.backend.engine is None or not is_on:
             return 0.0
-        step = self._engines.step_seconds(wanted.backend.name, busy)
-        return writing_risk(wanted.prompt, step, wanted.seconds_left)
+        step = self._engines.step_seconds(request.backend.name, prefill_share)
+        return decode_risk_seconds(request.prompt, step, request.seconds_left)
 
     def _preemption(
-        self, endpoint: RegisteredEndpoint, load: Load, wanted: Wanted
+        self, endpoint: RegisteredEndpoint, load: Load, request: RatedRequest
     ) -> float:
-        if wanted.backend.engine is None or not self._mechanisms.full_slots:
+        if request.backend.engine is None or not self._mechanisms.full_slots:
             return 0.0
         return preemption_seconds(
             load,
-            rank=wanted.route.rank,
+            rank=request.route.rank,
             slots=endpoint.slots,
-            run_seconds=wanted.run_seconds,
+            run_seconds=request.run_seconds,
         )
 
-    def _usual_error(self, wanted: Wanted, busy: float) -> float:
-        if wanted.backend.engine is None or not self._mechanisms.late_parts:
+    def _expected_error(
+        self, request: RatedRequest, prefill_share: float
+    ) -> float:
+        if request.backend.engine is None or not self._mechanisms.late_parts:
             return 0.0
-        return wanted.errors.expect(wanted.route.rank, busy)
+        return request.errors.expect(request.route.rank, prefill_share)
 
-    def _crossing(self, endpoint: RegisteredEndpoint, wanted: Wanted) -> float:
-        """Return what an endpoint is worse by for being farther away.
-
-        The endpoint beside is better while it answers about as soon: what
-        crosses is paid for.
-        """
+    def _crossing(
+        self, endpoint: RegisteredEndpoint, request: RatedRequest
+    ) -> float:
+        """Return the penalty for traffic to another data centre."""
         if self._data_centre in (None, endpoint.data_centre):
             return 0.0
-        return crossing_seconds(wanted.body_bytes, self._crossing_seconds)
+        return crossing_seconds(request.body_bytes, self._crossing_seconds)
 
     def _penalty(
-        self, endpoint: RegisteredEndpoint, wanted: Wanted, is_doubtful: bool
+        self,
+        endpoint: RegisteredEndpoint,
+        request: RatedRequest,
+        is_suspect: bool,
     ) -> float:
         penalty = 0.0
         if endpoint.silent:
-            penalty += SILENT_PENALTY_SECONDS
-        if is_doubtful:
-            penalty += SET_ASIDE_PENALTY_SECONDS
-        if wanted.beginning.home_id not in (None, endpoint.endpoint_id):
-            penalty += HOME_SECONDS
+            penalty += MISSED_HEARTBEAT_PENALTY_SECONDS
+        if is_suspect:
+            penalty += EJECTED_PENALTY_SECONDS
+        if request.beginning.home_id not in (None, endpoint.endpoint_id):
+            penalty += HOME_PENALTY_SECONDS
         return penalty
 
 
-def crossing_seconds(body_bytes: int, seconds_a_megabyte: float) -> float:
-    """Return how much sooner an answer from elsewhere must come."""
-    sent = body_bytes + EXCHANGE_BYTES
-    return sent / _BYTES_A_MEGABYTE * seconds_a_megabyte
+def crossing_seconds(body_bytes: int, seconds_per_megabyte: float) -> float:
+    """Return the penalty for sending a request elsewhere.
+
+    :param body_bytes: size of the request's body
+    :param seconds_per_megabyte: penalty for each megabyte
+    """
+    sent = body_bytes + EXCHANGE_OVERHEAD_BYTES
+    return sent / _BYTES_PER_MEGABYTE * seconds_per_megabyte
--- a/burdockdrum/passthrough/refusing.py
+++ b/burdockdrum/passthrough/refusing.py
@@ -1,4 +1,8 @@
-"""Turn a verdict into the answer that a caller gets."""
+"""Map refusals to HTTP responses.
+
+The status tells a caller whether the request may have run, as that decides
+whether it is safe to send it again.
+"""
 
 from burdockdrum.http1 import Exchange
 from burdockdrum.http1 import Headers
@@ -8,50 +12,50 @@
 from burdockdrum.verdicts import RefusalCode
 from burdockdrum.verdicts import Verdict
 
-# A caller that heard "not run" may come back after this, if nothing better
-# is known.
-RETRY_SECONDS = 0.5
-_FINAL_STATUSES_BY_CODE = {
+# Default Retry-After of a request that was not run.
+DEFAULT_RETRY_AFTER_SECONDS = 0.5
+_FINAL_STATUS_BY_CODE = {
     RefusalCode.BAD_REQUEST: 400,
     RefusalCode.UNAUTHENTICATED: 401,
     RefusalCode.NOT_FOUND: 404,
     RefusalCode.QUARANTINED: 422,
 }
 NOT_RUN_STATUS = 503
-OVER_LIMIT_STATUS = 429
+QUOTA_EXCEEDED_STATUS = 429
 LOST_STATUS = 502
-# Callers take these for a promise that a request has not run.
-PROMISING_STATUSES = frozenset({408, 421, OVER_LIMIT_STATUS, NOT_RUN_STATUS})
+# Statuses by which callers conclude that the request has not run.
+PROMISING_STATUSES = frozenset(
+    {408, 421, QUOTA_EXCEEDED_STATUS, NOT_RUN_STATUS}
+)
 
 
 def status_of(refusal: Refusal) -> int:
-    """Return the status that says what is true of a request.
+    """Return the HTTP status of a refusal.
 
-    Callers that get one of ``PROMISING_STATUSES`` send a request again; so
-    none of them may stand for one of which a byte has left and nothing more
-    is known.
+    Callers send a request again after one of ``PROMISING_STATUSES``, so that
+    these must not be used for a request that may have run.
     """
     if refusal.verdict is not Verdict.NOT_RUN:
         if refusal.code is RefusalCode.DEADLINE:
             return TIMED_OUT_STATUS
         return LOST_STATUS
     if refusal.code is RefusalCode.QUOTA:
-        return OVER_LIMIT_STATUS
-    return _FINAL_STATUSES_BY_CODE.get(refusal.code, NOT_RUN_STATUS)
+        return QUOTA_EXCEEDED_STATUS
+    return _FINAL_STATUS_BY_CODE.get(refusal.code, NOT_RUN_STATUS)
 
 
 def answer_refusal(
     exchange: Exchange, refusal: Refusal, identity: Headers, *, to_vm: bool
 ) -> None:
-    """Answer a request with a refusal.
+    """Respond to a request with a refusal.
 
-    :param identity: the header that names the request
-    :param to_vm: whether another entry passed the request on
+    :param identity: the header with the request's id
+    :param to_vm: whether another entry VM forwarded the request
     """
     status = status_of(refusal)
     headers = [*identity, (b"content-type", b"text/plain; charset=utf-8")]
     if status in PROMISING_STATUSES:
-        seconds = refusal.retry_after or RETRY_SECONDS
+        seconds = refusal.retry_after or DEFAULT_RETRY_AFTER_SECONDS
         headers.append((b"retry-after", b"%.2f" % seconds))
     if to_vm:
         headers.append((VERDICT, refusal.verdict.value.encode()))
--- a/burdockdrum/passthrough/regions.py
+++ b/burdockdrum/passthrough/regions.py
@@ -1,17 +1,20 @@
-"""Estimate what a request would meet in other regions."""
+"""Estimate how long a request would wait in other regions.
+
+Used for spill-over: only sums of load are known of other regions.
+"""
 
 from collections.abc import Callable
 
-from burdockdrum.passthrough.attempts import HOP_SECONDS
+from burdockdrum.passthrough.attempts import HOP_DELAY_SECONDS
 from burdockdrum.passthrough.fleet import Fleet
 from burdockdrum.passthrough.model import PassedRequest
 from burdockdrum.passthrough.model import Progress
 from burdockdrum.passthrough.rating import crossing_seconds
+from burdockdrum.passthrough.waiting import decode_risk_seconds
 from burdockdrum.passthrough.waiting import estimate_queue
 from burdockdrum.passthrough.waiting import preemption_seconds
-from burdockdrum.passthrough.waiting import RECENT_SECONDS
+from burdockdrum.passthrough.waiting import RECENT_WINDOW_SECONDS
 from burdockdrum.passthrough.waiting import Wait
-from burdockdrum.passthrough.waiting import writing_risk
 from burdockdrum.ports import Clock
 from burdockdrum.registrations import Load
 from burdockdrum.registrations import ServiceRoom
@@ -19,9 +22,9 @@
 
 
 class RegionRater:
-    """Rate the other regions by their average endpoints.
+    """Rates other regions by the average load of their endpoints.
 
-    Which endpoint is chosen there, an entry there decides by what it knows.
+    The endpoint is selected by an entry VM of the other region.
     """
 
     def __init__(
@@ -34,11 +37,11 @@
         mechanisms: MechanismSettings,
         crossing_seconds: float,
     ) -> None:
-        """Create it for the entries of a region.
+        """Create it for the entry VMs of a region.
 
-        :param read_rooms: returns what each region has under way
-        :param crossing_seconds: what a megabyte to another region counts
-            against seconds of waiting
+        :param read_rooms: returns the load and capacity of each region
+        :param crossing_seconds: seconds of waiting that equal the cost of
+            sending a megabyte to another region
         """
         self._clock = clock
         self._fleet = fleet
@@ -50,31 +53,36 @@
     def rate(
         self, request: PassedRequest, progress: Progress
     ) -> list[tuple[Wait, str]]:
-        """Return the waits in the regions that may take it, best first."""
+        """Return the waits in all eligible regions, best first."""
         waits = [
-            (self._estimate(request, room), room.region)
-            for room in self._read_rooms()
-            if self._may_take(request, progress, room)
+            (self._estimate(request, candidate), candidate.region)
+            for candidate in self._read_rooms()
+            if self._is_eligible(request, progress, candidate)
         ]
         return sorted(waits, key=lambda pair: pair[0].total)
 
-    def _may_take(
-        self, request: PassedRequest, progress: Progress, room: ServiceRoom
+    def _is_eligible(
+        self,
+        request: PassedRequest,
+        progress: Progress,
+        candidate: ServiceRoom,
     ) -> bool:
         homes = request.route.homes
         return (
-            room.service == request.backend.name
-            and room.endpoints > 0
-            and room.region != self._region
-            and room.region not in progress.tried_regions
-            and (not homes or room.region in homes)
+            candidate.service == request.backend.name
+            and candidate.endpoints > 0
+            and candidate.region != self._region
+            and candidate.region not in progress.tried_regions
+            and (not homes or candidate.region in homes)
         )
 
-    def _estimate(self, request: PassedRequest, room: ServiceRoom) -> Wait:
-        load = Load.of(room.ranks).times(1 / room.endpoints)
-        service = room.service
+    def _estimate(
+        self, request: PassedRequest, candidate: ServiceRoom
+    ) -> Wait:
+        load = Load.of(candidate.ranks).times(1 / candidate.endpoints)
+        service = candidate.service
         token_seconds = self._fleet.engines.token_seconds(service)
-        slots = max(1, room.slots // room.endpoints)
+        slots = max(1, candidate.slots // candidate.endpoints)
         run_seconds = self._fleet.run_seconds(service)
         rank = request.route.rank
         queue = estimate_queue(
@@ -83,44 +91,57 @@
             slots=slots,
             run_seconds=run_seconds,
             token_seconds=token_seconds,
-            counts_coming=self._mechanisms.urgent_share,
+            counts_arrivals=self._mechanisms.urgent_share,
         )
         crossing = crossing_seconds(
             len(request.head.body), self._crossing_seconds
         )
         if request.backend.engine is None:
-            return Wait(queue=queue, own=HOP_SECONDS, penalty=crossing)
+            return Wait(queue=queue, own=HOP_DELAY_SECONDS, penalty=crossing)
         preemption = 0.0
         if self._mechanisms.full_slots:
             preemption = preemption_seconds(
                 load, rank=rank, slots=slots, run_seconds=run_seconds
             )
-        busy = load.recent_tokens * token_seconds / RECENT_SECONDS
+        prefill_share = (
+            load.recent_tokens * token_seconds / RECENT_WINDOW_SECONDS
+        )
         return Wait(
             queue=queue,
-            own=self._own(request, room.region) + HOP_SECONDS,
-            penalty=self._writing_risk(request, busy) + crossing + preemption,
-            usual_error=self._fleet.expect_error(service, rank, busy),
+            own=self._own_seconds(request, candidate.region)
+            + HOP_DELAY_SECONDS,
+            penalty=self._decode_risk(request, prefill_share)
+            + crossing
+            + preemption,
+            expected_error=self._fleet.estimate_error(
+                service, rank, prefill_share
+            ),
         )
 
-    def _own(self, request: PassedRequest, region: str) -> float:
-        """Return how long reading the prompt takes there.
+    def _own_seconds(self, request: PassedRequest, region: str) -> float:
+        """Return the expected prefill time in a region.
 
-        An endpoint there may hold a beginning of it, or fetch one.
+        An endpoint there may have a prefix cached, or fetch one.
         """
         engines = self._fleet.engines
         service, prompt = request.backend.name, request.prompt
         unread, fetch = self._fleet.beginnings.expect_elsewhere(
             request.backend, prompt, region, request.route.homes
         )
-        reading = engines.reading_seconds(service, prompt, unread)
+        prefill = engines.reading_seconds(service, prompt, unread)
         fetching = engines.fetch_seconds(service, fetch)
-        whole = engines.reading_seconds(service, prompt, prompt.tokens)
-        return engines.first_seconds(service) + min(whole, reading + fetching)
+        full_prefill = engines.reading_seconds(service, prompt, prompt.tokens)
+        return engines.first_seconds(service) + min(
+            full_prefill, prefill + fetching
+        )
 
-    def _writing_risk(self, request: PassedRequest, busy: float) -> float:
+    def _decode_risk(
+        self, request: PassedRequest, prefill_share: float
+    ) -> float:
         if not self._mechanisms.writing_risk:
             return 0.0
-        step = self._fleet.engines.step_seconds(request.backend.name, busy)
+        step = self._fleet.engines.step_seconds(
+            request.backend.name, prefill_share
+        )
         left = request.deadline - self._clock.monotonic()
-        return writing_risk(request.prompt, step, left)
+        return decode_risk_seconds(request.prompt, step, left)
--- a/burdockdrum/passthrough/waiting.py
+++ b/burdockdrum/passthrough/waiting.py
@@ -1,7 +1,6 @@
-"""Estimate when a request's first output is to be expected.
+"""Estimate a request's time to first token from the load of an endpoint.
 
-What an engine takes for a token is not known here: callers give what they
-have observed (see ``engines``).
+The times per token come from the callers (see ``engines``).
 """
 
 from dataclasses import dataclass
@@ -9,47 +8,43 @@
 from burdockdrum.passthrough.prompts import Prompt
 from burdockdrum.registrations import Load
 
-# What was sent to an endpoint counts as recent for so long. It is as long as
-# most outputs take: over it the share of reading steps hardly changes.
-RECENT_SECONDS = 2.0
-# What more urgent requests leave of an engine's time at the least: beyond it
-# they are passed on or refused themselves.
-MIN_PART_LEFT = 0.2
-# Which part of its time an output may take without being at risk: others
-# come while it is written, and its length is a guess.
-SAFE_WRITING_PART = 0.6
-# What a second beyond that counts against a second until the first part.
-# The longest outputs are worth most, and a hop costs them least; at the
-# usual load a few in a hundred are sent to another region for it.
-RISK_WEIGHT = 0.3
-
-
-def writing_risk(
+# Decay time of recently sent tokens; about the duration of most responses.
+RECENT_WINDOW_SECONDS = 2.0
+# Least fraction of an engine's time that more urgent requests leave to others;
+# beyond it they are spilled to other regions or refused themselves.
+MIN_CAPACITY_FRACTION = 0.2
+# Fraction of the remaining time that decoding may take without a penalty. Less
+# than 1, as more load can arrive and the output length is an estimate.
+SAFE_DECODE_FRACTION = 0.6
+# Penalty for each second beyond that, in seconds of waiting.
+DECODE_RISK_WEIGHT = 0.3
+
+
+def decode_risk_seconds(
     prompt: Prompt, step_seconds: float, seconds_left: float
 ) -> float:
-    """Return what an endpoint is worse by for an output that may be late.
+    """Return the penalty for an output that may miss its deadline.
 
-    An engine that reads without a pause takes several times as long for a
-    token, and long outputs run into their deadline though the first part came
-    in time.
+    Decoding is several times slower on an engine that is busy with prefill:
+    long outputs can be late although their first token came in time.
 
-    :param step_seconds: what a token takes to write there
+    :param step_seconds: time of a decode step at the endpoint
     :param seconds_left: until the caller's deadline
     """
-    writing = prompt.expected_output * step_seconds
-    safe = seconds_left * SAFE_WRITING_PART
-    return max(0.0, writing - safe) * RISK_WEIGHT
+    decode_seconds = prompt.expected_output * step_seconds
+    safe = seconds_left * SAFE_DECODE_FRACTION
+    return max(0.0, decode_seconds - safe) * DECODE_RISK_WEIGHT
 
 
 def preemption_seconds(
     load: Load, *, rank: int, slots: int, run_seconds: float
 ) -> float:
-    """Return what a request costs those that it takes a slot from.
+    """Return the penalty for preempting a less urgent request.
 
-    An engine whose slots are full admits what is more urgent and puts
-    something back that runs, which is read anew later.
+    An engine with full slots admits a more urgent request by preempting a
+    running one, whose prefill is repeated later.
 
-    :param run_seconds: how long a request holds a slot, on average
+    :param run_seconds: how long a request holds a slot on average
     """
     is_full = load.requests + 1 > slots
     return run_seconds if is_full and load.above(rank).requests else 0.0
@@ -57,24 +52,22 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Wait:
-    """The parts of an expected wait, in seconds.
+    """The components of an expected wait, in seconds.
 
-    ``queue`` is spent on what came before, ``own`` on reading the prompt
-    until the first part. ``usual_error`` is what first parts have come later
-    by than these two say, at engines that read as much. ``penalty`` is what
-    a doubtful endpoint, or one where the output would end late, must be
-    better by to be chosen.
+    ``queue`` is the time behind earlier requests, ``own`` the prefill of the
+    request itself. ``expected_error`` is by how much such estimates were too
+    low. ``penalty`` is no waiting time, but only ranks the endpoint lower.
     """
 
     queue: float
     own: float
     penalty: float = 0.0
-    usual_error: float = 0.0
+    expected_error: float = 0.0
 
     @property
     def total(self) -> float:
-        """Return what choices are compared by."""
-        return self.queue + self.own + self.usual_error + self.penalty
+        """Return the sum, by which endpoints are compared."""
+        return self.queue + self.own + self.expected_error + self.penalty
 
 
 def estimate_queue(
@@ -84,29 +77,30 @@
     slots: int,
     run_seconds: float,
     token_seconds: float,
-    counts_coming: bool = True,
+    counts_arrivals: bool = True,
 ) -> float:
-    """Return how long a request of a rank waits at an endpoint.
-
-    An engine reads one prompt after the other, the most urgent of those that
-    wait first; the one that it reads it reads to its end. So a request waits
-    for all that are as urgent or more, and for the rest of one other. While
-    it waits, more urgent ones come and go before it.
-
-    More urgent ones that are yet to come count as well: an engine that reads
-    them most of the time leaves little for others.
-
-    :param run_seconds: how long a request holds a slot, on average
-    :param token_seconds: how long a token of a prompt takes to read
-    :param counts_coming: whether more urgent ones are taken to come
+    """Return how many seconds a request of a rank queues at an endpoint.
+
+    Models a non-preemptive priority queue: an engine prefills one prompt at a
+    time, the most urgent first. A request waits for all that are at least as
+    urgent, for the rest of a less urgent one in prefill, and for more urgent
+    ones that arrive meanwhile.
+
+    :param rank: priority; lower is more urgent
+    :param slots: how many requests the endpoint runs at once
+    :param run_seconds: how long a request holds a slot on average
+    :param token_seconds: prefill time of a token
+    :param counts_arrivals: whether to expect further more urgent requests
     """
     ahead, behind = load.up_to(rank), load.above(rank)
     unread = ahead.unread_tokens
     if behind.unread_tokens:
         unread += behind.unread_tokens / max(1.0, behind.waiting)
-    left = 1.0
-    if counts_coming:
-        coming = load.up_to(rank - 1).recent_tokens * token_seconds
-        left = max(MIN_PART_LEFT, 1 - coming / RECENT_SECONDS)
-    over = max(0.0, ahead.requests + 1 - slots)
-    return unread * token_seconds / left + over * run_seconds / slots
+    capacity = 1.0
+    if counts_arrivals:
+        arriving = load.up_to(rank - 1).recent_tokens * token_seconds
+        capacity = max(
+            MIN_CAPACITY_FRACTION, 1 - arriving / RECENT_WINDOW_SECONDS
+        )
+    excess = max(0.0, ahead.requests + 1 - slots)
+    return unread * token_seconds / capacity + excess * run_seconds / slots
--- a/tests/passthrough/fakes.py
+++ b/tests/passthrough/fakes.py
@@ -1,4 +1,4 @@
-"""What the tests of the pass-through share."""
+"""Fakes and builders shared by the tests of request proxying."""
 
 import random
 
@@ -28,23 +28,23 @@
 
 
 class SteppedClock:
-    """A clock that a test moves."""
+    """A clock that a test advances by hand."""
 
     def __init__(self):
         """Start at 100 s."""
         self.now = 100.0
 
     def monotonic(self):
-        """Return the time."""
+        """Return the current time."""
         return self.now
 
     async def sleep(self, seconds):
-        """Move the time on."""
+        """Advance the time."""
         self.now += seconds
 
 
 def make_endpoint(endpoint_id, **fields):
-    """Return an endpoint with 8 slots that takes work."""
+    """Return an endpoint with 8 slots that accepts requests."""
     defaults = {
         "service": "model",
         "address": f"{endpoint_id}:80",
@@ -61,7 +61,7 @@
 
 
 def make_prompt(tokens, *shared):
-    """Return a prompt whose last part is its own."""
+    """Return a prompt of some shared parts and an unshared last one."""
     parts = [PromptPart(part_id=n, tokens=t) for n, t in shared]
     own = tokens - sum(part.tokens for part in parts)
     parts.append(PromptPart(part_id=f"own-{tokens}", tokens=own))
@@ -84,10 +84,10 @@
 
 
 class FleetWorld:
-    """A fleet over endpoints and loads that a test sets."""
+    """A fleet with endpoints and reported loads that a test sets."""
 
     def __init__(self, *ids, seed=1, crossing_seconds=0.0):
-        """Create endpoints that are idle."""
+        """Create idle endpoints with some ids."""
         self.clock = SteppedClock()
         self.endpoints = {name: make_endpoint(name) for name in ids}
         self.others = {}
@@ -134,6 +134,6 @@
         )
 
     def send(self, prompt, *, rank=0, backend=MODEL):
-        """Choose an endpoint and count the request there."""
+        """Choose an endpoint and record the request there."""
         choice = self.choose(prompt, rank=rank, backend=backend)
         return self.fleet.begin(choice, backend, prompt, rank)
--- a/tests/passthrough/test_engines.py
+++ b/tests/passthrough/test_engines.py
@@ -1,19 +1,19 @@
-"""Tests of what is learned of engines from the answers that they give."""
+"""Tests of the estimates of engine speeds."""
 
 import random
 import unittest
 
-from burdockdrum.passthrough.engines import count_pairs
+from burdockdrum.passthrough.engines import count_attention_pairs
 from burdockdrum.passthrough.engines import Engines
 from burdockdrum.passthrough.prompts import Prompt
-from burdockdrum.passthrough.tracks import MIN_LEFT_PART
+from burdockdrum.passthrough.tracks import MIN_UNREAD_FRACTION
 from tests.passthrough.fakes import FleetWorld
 from tests.passthrough.fakes import make_prompt
 from tests.passthrough.fakes import MODEL
 
 
 class Engine:
-    """An engine of some speed, and requests that are sent to it."""
+    """A simulated engine of a given speed."""
 
     def __init__(self, *, first, token, pair, seed=1):
         """Create an engine; the times are in seconds."""
@@ -21,50 +21,50 @@
         self.rng = random.Random(seed)
 
     def seconds(self, tokens):
-        """Return when the first part of an unread prompt comes."""
+        """Return the time to first token of an uncached prompt."""
         return self.first + tokens * self.token + tokens**2 / 2 * self.pair
 
-    def play(self, engines, number, *, names=("a", "b", "c"), odd=0.15):
-        """Note first parts of mostly short prompts, some of them late."""
+    def simulate(
+        self, engines, number, *, names=("a", "b", "c"), late_fraction=0.15
+    ):
+        """Record first tokens of mostly short prompts, some of them late."""
         rng = self.rng
         for _ in range(number):
             tokens = int(rng.lognormvariate(5.6, 0.6))
             if rng.random() < 0.07:
                 tokens = int(rng.choice([3700, 17_000]) * rng.uniform(0.5, 2))
             seconds = self.seconds(tokens) * rng.lognormvariate(0, 0.1)
-            if rng.random() < odd:
+            if rng.random() < late_fraction:
                 seconds += rng.uniform(0, 0.2)
             name = rng.choice(names)
             prompt = Prompt(tokens=tokens)
-            engines.note_first_part("s", name, prompt, tokens, seconds)
+            engines.record_first_token("s", name, prompt, tokens, seconds)
 
 
-def whole(engines, tokens):
-    """Return when the first part of an unread prompt is expected."""
+def first_part_seconds(engines, tokens):
+    """Return the estimated time to first token of an uncached prompt."""
     reading = engines.reading_seconds("s", Prompt(tokens=tokens), tokens)
     return engines.first_seconds("s") + reading
 
 
 class ReadingTest(unittest.TestCase):
-    """The pattern: engines of another make than those before.
+    """Estimates converge on engines whose speed differs from the prior.
 
-    A service's engines read 45,000 tokens a second, half as many as the
-    prior says; 7 of 100 prompts are long, and one in seven first parts
-    comes late for something that nobody knew of.
+    7 of 100 prompts are long, and one in seven first tokens is late for an
+    unknown reason.
     """
 
     def check(self, engine, number, tolerance):
         engines = Engines()
-        engine.play(engines, number)
+        engine.simulate(engines, number)
         for tokens in (200, 3700, 17_000):
             expected = engine.seconds(tokens)
-            ratio = whole(engines, tokens) / expected
+            ratio = first_part_seconds(engines, tokens) / expected
             with self.subTest(tokens=tokens):
                 self.assertLess(abs(ratio - 1), tolerance, ratio)
 
-    def test_engines_of_four_speeds_are_learned(self):
-        # 600 answers without a queue are ten to thirty seconds of one
-        # entry's traffic.
+    def test_estimates_converge_for_engines_of_four_speeds(self):
+        # 600 samples are less than a minute of one entry VM's traffic.
         slow = Engine(first=0.022, token=2.2e-5, pair=1.2e-10)
         half = Engine(first=0.044, token=4.4e-5, pair=2.4e-10)
         twice = Engine(first=0.011, token=1.1e-5, pair=0.6e-10)
@@ -73,97 +73,98 @@
             with self.subTest(engine.token):
                 self.check(engine, 600, 0.35)
 
-    def test_a_long_prompt_is_known_from_a_few(self):
-        # Long ones are rare: forty short ones don't wash out what one of
-        # them has shown.
+    def test_few_long_prompts_suffice_for_an_estimate(self):
+        # Guards against the many short prompts outweighing the few long ones.
         engine = Engine(first=0.022, token=2.2e-5, pair=1.2e-10)
         engines = Engines()
-        engine.play(engines, 3000, odd=0.0)
+        engine.simulate(engines, 3000, late_fraction=0.0)
         for tokens in (30_000, 50_000):
-            ratio = whole(engines, tokens) / engine.seconds(tokens)
+            ratio = first_part_seconds(engines, tokens) / engine.seconds(
+                tokens
+            )
             self.assertLess(abs(ratio - 1), 0.25)
 
-    def test_change_of_speed_is_noticed(self):
-        # A release replaces all engines by ones of twice the speed. Forty
-        # seconds later, at 30 answers without a queue each, most of the
-        # difference is known.
+    def test_estimates_follow_a_change_of_speed(self):
+        # Guards against estimates that stay outdated after a release has
+        # doubled the speed of all engines.
         engines = Engines()
-        Engine(first=0.03, token=3e-5, pair=0.0).play(engines, 800)
-        before = whole(engines, 4000)
+        Engine(first=0.03, token=3e-5, pair=0.0).simulate(engines, 800)
+        before = first_part_seconds(engines, 4000)
         faster = Engine(first=0.015, token=1.5e-5, pair=0.0, seed=2)
-        faster.play(engines, 1200)
-        self.assertLess(whole(engines, 4000), before * 0.65)
+        faster.simulate(engines, 1200)
+        self.assertLess(first_part_seconds(engines, 4000), before * 0.65)
 
     def test_one_slow_endpoint_does_not_slow_the_others_down(self):
-        # One of four takes eight times as long and is known for it; what
-        # is expected of the others stays.
+        # Guards against one degraded endpoint distorting the service's curve.
         engine = Engine(first=0.022, token=2.2e-5, pair=0.0)
-        grey = Engine(first=0.176, token=1.76e-4, pair=0.0, seed=2)
+        slow_endpoint = Engine(first=0.176, token=1.76e-4, pair=0.0, seed=2)
         engines = Engines()
-        engine.play(engines, 400)
+        engine.simulate(engines, 400)
         for _ in range(60):
-            grey.play(engines, 1, names=("d",), odd=0.0)
-            engine.play(engines, 3, odd=0.0)
-        self.assertGreater(engines.factor("s", "d"), 4)
-        self.assertLess(abs(engines.factor("s", "a") - 1), 0.3)
-        ratio = whole(engines, 4000) / engine.seconds(4000)
+            slow_endpoint.simulate(engines, 1, names=("d",), late_fraction=0.0)
+            engine.simulate(engines, 3, late_fraction=0.0)
+        self.assertGreater(engines.time_factor("s", "d"), 4)
+        self.assertLess(abs(engines.time_factor("s", "a") - 1), 0.3)
+        ratio = first_part_seconds(engines, 4000) / engine.seconds(4000)
         self.assertLess(abs(ratio - 1), 0.35)
 
-    def test_reading_is_never_free(self):
-        # Seen once in a process that ended: the first parts came such that
-        # the best curve was one of pairs only, and a token took no time.
+    def test_token_and_step_times_stay_positive(self):
+        # Guards against a division by zero: with such samples the best fit
+        # has a coefficient of zero for tokens.
         engines = Engines()
         rng = random.Random(1)
         for _ in range(2000):
             tokens = rng.randrange(1, 60_000)
             seconds = 0.02 + tokens**2 * 1e-9
             prompt = Prompt(tokens=tokens)
-            engines.note_first_part("s", "a", prompt, tokens, seconds)
+            engines.record_first_token("s", "a", prompt, tokens, seconds)
             self.assertGreater(engines.token_seconds("s"), 0)
-            engines.note_writing("s", 0.001 + rng.random() ** 4, 0.9)
+            engines.record_decode("s", 0.001 + rng.random() ** 4, 0.9)
             self.assertGreater(engines.step_seconds("s", 0.0), 0)
 
-    def test_times_twice_as_long_give_estimates_twice_as_long(self):
+    def test_estimates_scale_with_observed_times(self):
         pair = []
         for scale in (1, 2):
             engines = Engines()
-            Engine(first=0.022 * scale, token=2.2e-5 * scale, pair=0.0).play(
-                engines, 3000, odd=0.0
-            )
-            pair.append(whole(engines, 8000))
+            Engine(
+                first=0.022 * scale, token=2.2e-5 * scale, pair=0.0
+            ).simulate(engines, 3000, late_fraction=0.0)
+            pair.append(first_part_seconds(engines, 8000))
         self.assertAlmostEqual(2.0, pair[1] / pair[0], delta=0.1)
 
-    def test_pairs_are_those_of_what_is_read(self):
+    def test_attention_pairs_cover_the_unread_tokens(self):
         prompt = Prompt(tokens=1000)
-        self.assertEqual(500_000, count_pairs(prompt, 1000))
-        self.assertEqual((1000**2 - 900**2) / 2, count_pairs(prompt, 100))
+        self.assertEqual(500_000, count_attention_pairs(prompt, 1000))
+        self.assertEqual(
+            (1000**2 - 900**2) / 2, count_attention_pairs(prompt, 100)
+        )
 
 
 class WritingTest(unittest.TestCase):
-    """Steps that write a token, alone and beside prompts that are read."""
+    """Decode steps, with and without concurrent prefill."""
 
-    def test_steps_are_learned_by_how_busy_an_engine_is(self):
+    def test_decode_steps_are_learned_by_prefill_share(self):
         engines = Engines()
         rng = random.Random(1)
         for _ in range(600):
             busy = rng.random()
             seconds = (0.006 + 0.02 * busy) * rng.lognormvariate(0, 0.2)
-            engines.note_writing("s", seconds, busy)
+            engines.record_decode("s", seconds, busy)
         for busy in (0.1, 0.5, 0.9):
             step = engines.step_seconds("s", busy)
             self.assertAlmostEqual(0.006 + 0.02 * busy, step, delta=0.003)
 
 
 class LearningTest(unittest.TestCase):
-    """What a fleet takes for an observation."""
+    """Which requests a fleet uses as samples."""
 
     def answer(self, world, placement, seconds):
         world.clock.now += seconds
         world.fleet.note_output(placement)
 
-    def test_first_part_behind_others_tells_nothing(self):
-        # A short request waits for a long prompt that was sent before it.
-        # Nothing is held of either: each has parts of its own.
+    def test_queued_requests_are_no_prefill_samples(self):
+        # Guards against queueing time being taken for prefill time: a short
+        # request waits for an uncached long prompt.
         world = FleetWorld("a")
         for number in range(100):
             long = world.send(make_prompt(20_000 + number))
@@ -175,9 +176,9 @@
         engines = world.fleet.engines
         self.assertLess(engines.first_seconds("model"), 0.1)
 
-    def test_waits_follow_what_was_observed(self):
-        # Engines that take 0.04 s and 24 us a token, as no prior says: after
-        # a hundred answers an entry expects that, within a tenth.
+    def test_waits_follow_observed_speeds(self):
+        # Guards against waits that are estimated from the prior although the
+        # engines' real speed has been observed.
         world = FleetWorld("a")
         for number in range(100):
             placement = world.send(make_prompt(4000 + number * 100))
@@ -187,9 +188,9 @@
         learned = world.choose(make_prompt(8001)).wait.own
         self.assertAlmostEqual(0.04 + 8001 * 2.4e-5, learned, delta=0.023)
 
-    def test_progress_is_counted_of_the_prompt_that_is_read_now(self):
-        # Three prompts wait at an engine that gives nothing for a second.
-        # One may be nearly read; the others are still to come.
+    def test_progress_is_subtracted_of_the_running_prefill_only(self):
+        # Guards against counting down all queued prompts at once: an engine
+        # without output for a second can have prefilled one of the three.
         world = FleetWorld("a")
         first, *others = [
             world.send(make_prompt(10_000 + number)).choice.reading_tokens
@@ -198,6 +199,6 @@
         world.clock.now += 1.0
         [rank] = world.fleet.read_own_load()["a"]
         self.assertEqual(3, rank.waiting)
-        left = first * MIN_LEFT_PART + sum(others)
+        left = first * MIN_UNREAD_FRACTION + sum(others)
         self.assertAlmostEqual(left, rank.unread_tokens, delta=10)
         self.assertGreater(left, 21_000)
--- a/tests/passthrough/test_estimate_errors.py
+++ b/tests/passthrough/test_estimate_errors.py
@@ -1,7 +1,7 @@
-"""Tests of how much later first parts come than is expected.
+"""Tests of the learned errors of wait estimates.
 
-The pattern is a region at its peak: its engines also write for dozens of
-requests, and give first parts later than what is known to be before them.
+At peak load, engines also decode for dozens of requests, so that responses
+start later than the known queue explains.
 """
 
 import unittest
@@ -18,56 +18,54 @@
 
 
 class EstimateErrorsTest(unittest.TestCase):
-    """What is learned from errors."""
+    """Errors by rank and prefill share."""
 
     def setUp(self):
         self.errors = EstimateErrors()
 
-    def note(self, busy, seconds, number=100, rank=0):
+    def record(self, busy, seconds, number=100, rank=0):
         for _ in range(number):
-            self.errors.note(rank, busy, seconds)
+            self.errors.record(rank, busy, seconds)
 
-    def test_late_parts_at_busy_engines_are_expected_there_only(self):
-        self.note(PEAK, 0.3)
-        self.note(CALM, 0.0)
+    def test_errors_at_busy_engines_apply_there_only(self):
+        self.record(PEAK, 0.3)
+        self.record(CALM, 0.0)
         self.assertAlmostEqual(0.3, self.errors.expect(0, PEAK), delta=0.01)
         self.assertEqual(0.0, self.errors.expect(0, CALM))
 
-    def test_busier_engine_is_never_expected_to_be_sooner(self):
-        # One lucky request at an engine that reads all the time must not
-        # draw all others there.
-        self.note(PEAK, 0.3)
-        self.note(0.95, -0.1, number=1)
+    def test_expected_error_never_decreases_with_prefill_share(self):
+        # Guards against one early response attracting all further requests.
+        self.record(PEAK, 0.3)
+        self.record(0.95, -0.1, number=1)
         self.assertAlmostEqual(0.3, self.errors.expect(0, 0.95), delta=0.01)
 
-    def test_a_few_late_parts_are_enough_after_a_start(self):
-        # One of seventy entries sees three long prompts in the first four
-        # seconds of a peak; what it learned after twenty would be too late.
-        self.note(PEAK, 0.4, number=3)
+    def test_few_samples_suffice_after_a_start(self):
+        # Guards against learning too late: an entry VM sees only a few long
+        # prompts in the first seconds of a peak.
+        self.record(PEAK, 0.4, number=3)
         self.assertGreater(self.errors.expect(0, PEAK), 0.2)
 
-    def test_early_parts_promise_nothing(self):
-        self.note(PEAK, -0.2)
+    def test_expected_error_is_never_negative(self):
+        self.record(PEAK, -0.2)
         self.assertEqual(0.0, self.errors.expect(0, PEAK))
 
-    def test_ranks_are_told_apart(self):
-        # Urgent ones are let in first; the others wait for them.
-        self.note(PEAK, 0.3, rank=1)
+    def test_ranks_have_separate_errors(self):
+        # Less urgent requests wait for the urgent ones, which don't.
+        self.record(PEAK, 0.3, rank=1)
         self.assertEqual(0.0, self.errors.expect(0, PEAK))
 
-    def test_lost_endpoint_counts_for_little(self):
-        self.note(PEAK, 0.0, number=30)
-        self.note(PEAK, 60.0, number=1)
+    def test_outlier_is_clipped(self):
+        self.record(PEAK, 0.0, number=30)
+        self.record(PEAK, 60.0, number=1)
         self.assertLess(self.errors.expect(0, PEAK), 0.11)
 
 
 class BusyEngineTest(unittest.TestCase):
-    """What an entry makes of them."""
+    """How learned errors change the choice of an endpoint."""
 
-    def test_work_goes_where_first_parts_come_as_expected(self):
-        # One of two endpoints has less waiting and was sent much lately:
-        # what it gives comes later than what waits there says, and a caller
-        # who is sent there is late.
+    def test_learned_errors_change_the_choice(self):
+        # Guards against preferring an endpoint with a short queue whose
+        # responses are nevertheless late, as it was sent much recently.
         world = FleetWorld("busy", "idle")
         tokens = int(1.5 / world.fleet.engines.token_seconds("model"))
         world.others["busy"] = Load.of([RankLoad(0, 1, 500, tokens, 1)])
--- a/tests/passthrough/test_fleet.py
+++ b/tests/passthrough/test_fleet.py
@@ -17,11 +17,11 @@
 
 
 class ChoiceTest(unittest.TestCase):
-    """One request after the other."""
+    """Single choices among the endpoints of a region."""
 
     def test_short_request_avoids_a_long_prompt_of_another_entry(self):
-        # Another entry has just sent 57,000 tokens to one endpoint. What
-        # this entry sends next goes elsewhere and is not held up by 1.2 s.
+        # Guards against queueing behind a long prompt that another entry VM
+        # has just sent to one of the endpoints.
         world = FleetWorld("a", "b", "c")
         world.others["a"] = Load.of([RankLoad(1, 1, 57_000, waiting=1)])
         chosen = {
@@ -30,10 +30,9 @@
         }
         self.assertEqual({"b", "c"}, chosen)
 
-    def test_long_prompt_counts_by_its_time_and_not_by_its_tokens(self):
-        # Reading looks at pairs of tokens: 64,000 tokens take 1.7 times as
-        # long as 64 prompts of a thousand. A query behind it would be told
-        # a second too little, and give its first part too late.
+    def test_long_prompt_counts_by_its_prefill_time(self):
+        # Guards against underestimating the queue behind a long prompt, whose
+        # prefill time grows with the square of its tokens.
         world = FleetWorld("a")
         long = world.send(make_prompt(64_000))
         expected = world.choose(make_prompt(100)).wait.queue
@@ -51,11 +50,9 @@
         ]
         self.assertEqual(3, max(placed.count(name) for name in placed))
 
-    def test_unheard_entries_are_taken_to_do_the_same(self):
-        # Everything has just started, and two endpoints have checked in. 27
-        # other entries have the same requests to place; none of them has
-        # told anything yet. After a few of its own an entry expects a queue
-        # that a request would be refused for.
+    def test_unreported_load_of_other_entries_is_extrapolated(self):
+        # Guards against overload right after a start, when 27 other entry VMs
+        # send similar requests but have not reported any load yet.
         world = FleetWorld("a", "b")
         alone = [world.send(make_prompt(6000)) for _ in range(4)]
         self.assertEqual(4, len(alone))
@@ -65,9 +62,9 @@
         self.assertLess(short, 0.3)
         self.assertGreater(long, 2.0)
 
-    def test_prompt_goes_where_its_beginning_is_held(self):
-        # Three entries that never tell each other what they sent where
-        # choose the same endpoint for a shared beginning of 5,000 tokens.
+    def test_prompt_goes_where_its_prefix_is_cached(self):
+        # Guards against a shared prefix being computed several times: entry
+        # VMs choose the same endpoint for it without communication.
         shared = (("head", 500), ("plan-7", 4900))
         chosen = set()
         for seed in range(3):
@@ -76,8 +73,9 @@
             chosen.add(placement.endpoint.endpoint_id)
         self.assertEqual(1, len(chosen))
 
-    def test_beginning_is_read_again_rather_than_waited_for(self):
-        # The endpoint that holds it has a second of prompts to read first.
+    def test_busy_holder_of_a_prefix_is_avoided(self):
+        # Guards against waiting for an overloaded endpoint only because it
+        # has the prefix cached.
         world = FleetWorld("a", "b")
         prompt = make_prompt(6600, ("plan-7", 5000))
         home = world.choose(prompt).endpoint.endpoint_id
@@ -85,9 +83,9 @@
         other = world.choose(prompt).endpoint.endpoint_id
         self.assertNotEqual(home, other)
 
-    def test_long_body_stays_in_its_data_centre_while_that_is_as_good(self):
-        # Region with two data centres, endpoints idle in both. What crosses
-        # between them is paid for, and would be answered no sooner.
+    def test_long_body_stays_in_its_data_centre_if_not_slower(self):
+        # Guards against paying for traffic to another data centre without
+        # getting a faster response.
         world = FleetWorld("a", "b", crossing_seconds=1.5)
         for name in ("c", "d"):
             world.endpoints[name] = make_endpoint(name, data_centre="beside")
@@ -99,10 +97,9 @@
         }
         self.assertEqual({"a", "b"}, chosen)
 
-    def test_short_requests_stay_where_loads_are_heard_late(self):
-        # All endpoints have something waiting, and loads are heard half a
-        # second late: what comes is spread over those that have room. Each
-        # data centre has room for its own callers.
+    def test_short_requests_stay_local_despite_stale_loads(self):
+        # Guards against spreading work over both data centres because of
+        # stale load reports, while the local one has free capacity.
         world = FleetWorld("a", "b", crossing_seconds=4.0)
         for name in ("c", "d"):
             world.endpoints[name] = make_endpoint(name, data_centre="beside")
@@ -116,9 +113,9 @@
         }
         self.assertEqual({"a", "b"}, chosen)
 
-    def test_body_crosses_where_it_is_answered_sooner(self):
-        # The endpoints beside the entry have a second to read before it: a
-        # caller is not made to wait for bytes that cost 0.05 s.
+    def test_body_crosses_to_a_faster_data_centre(self):
+        # Guards against queueing a second at local endpoints to save traffic
+        # that is worth 0.05 s.
         world = FleetWorld("a", "b", crossing_seconds=1.5)
         world.endpoints["c"] = make_endpoint("c", data_centre="beside")
         for name in ("a", "b"):
@@ -126,7 +123,7 @@
         choice = world.choose(make_prompt(1000), body_bytes=34_000)
         self.assertEqual("c", choice.endpoint.endpoint_id)
 
-    def test_nothing_goes_where_it_may_not(self):
+    def test_ineligible_endpoints_are_never_chosen(self):
         world = FleetWorld("ok")
         away = {
             "leaving": {"state": RegistrationState.LEAVING},
@@ -143,7 +140,7 @@
             )
             self.assertEqual("ok", choice.endpoint.endpoint_id)
 
-    def test_silent_endpoint_is_the_last_choice(self):
+    def test_endpoint_without_heartbeats_is_the_last_choice(self):
         world = FleetWorld("a", "quiet")
         quiet = world.endpoints["quiet"]
         world.endpoints["quiet"] = dataclasses.replace(
@@ -158,8 +155,8 @@
             "quiet", world.choose(make_prompt(10)).endpoint.endpoint_id
         )
 
-    def have_fail(self, world, name, times, *, note="note_failure"):
-        """Have an endpoint fail requests."""
+    def record_failures(self, world, name, times, *, note="note_failure"):
+        """Record failures of an endpoint; return its health."""
         for _ in range(times):
             placement = world.send(make_prompt(10))
             world.fleet.end(placement, MODEL, whole=False)
@@ -168,9 +165,9 @@
             getattr(health, note)(world.clock.now)
         return health
 
-    def test_failing_endpoint_is_set_aside_and_tried_again(self):
-        # It answers fast with failures and so looks idle. After a few it
-        # gets nothing, then one request at a time until one succeeds.
+    def test_failing_endpoint_is_ejected_and_probed(self):
+        # Guards against an endpoint that fails fast attracting all requests,
+        # as it looks idle. After its ejection it gets one probe at a time.
         world = FleetWorld("bad", "good")
         for _ in range(3):
             world.send(make_prompt(10))
@@ -188,21 +185,21 @@
             tried += placement.endpoint.endpoint_id == "bad"
         self.assertEqual(1, tried)
         health.note_success()
-        self.assertFalse(health.is_set_aside(world.clock.now))
+        self.assertFalse(health.is_ejected(world.clock.now))
 
-    def test_service_that_fails_everywhere_is_still_tried(self):
-        # Every endpoint of the region fails: none is better than another,
-        # and refusing everything would be worse than any.
+    def test_ejected_endpoints_are_used_if_all_are_ejected(self):
+        # Guards against refusing all requests because every endpoint has
+        # been ejected.
         world = FleetWorld("a", "b")
         for name in "ab":
-            self.have_fail(world, name, 8)
+            self.record_failures(world, name, 8)
         choice = world.choose(make_prompt(10))
         self.assertGreater(choice.wait.penalty, 0.5)
         self.assertLess(choice.wait.queue, 0.5)
 
-    def test_endpoint_that_gives_nothing_is_avoided(self):
-        # It has gone dark with a request on it. The next ones go elsewhere
-        # after half a second, not when the kernel notices after four.
+    def test_stalled_endpoint_is_avoided(self):
+        # Guards against sending to an endpoint that lost its power until the
+        # kernel reports an error, which takes seconds.
         world = FleetWorld("dark", "good")
         for _ in range(20):
             placement = world.send(make_prompt(0), backend=PLAIN_MODEL)
@@ -216,20 +213,20 @@
             self.assertEqual("good", placement.endpoint.endpoint_id)
             world.fleet.end(placement, PLAIN_MODEL, whole=True)
 
-    def test_endpoint_without_a_connection_gets_nothing_for_a_while(self):
+    def test_endpoint_is_skipped_after_a_failed_connect(self):
         world = FleetWorld("a")
-        self.have_fail(world, "a", 1, note="note_unreachable")
+        self.record_failures(world, "a", 1, note="note_unreachable")
         self.assertIsNone(world.choose(make_prompt(10)))
         world.clock.now += 1.1
         self.assertIsNotNone(world.choose(make_prompt(10)))
 
     def test_broken_connections_count_double(self):
         world = FleetWorld("a")
-        health = self.have_fail(world, "a", 3, note="note_loss")
-        self.assertTrue(health.is_set_aside(world.clock.now))
+        health = self.record_failures(world, "a", 3, note="note_loss")
+        self.assertTrue(health.is_ejected(world.clock.now))
 
-    def test_some_failures_among_successes_change_nothing(self):
-        # A service that fails one request in seven by its nature.
+    def test_low_failure_rate_does_not_eject(self):
+        # Guards against ejecting endpoints for a constant low failure rate.
         world = FleetWorld("a")
         health = world.fleet.health_of(world.endpoints["a"])
         world.send(make_prompt(10))
@@ -240,7 +237,7 @@
                 health.note_success()
             self.assertIsNotNone(world.choose(make_prompt(10)))
 
-    def test_counts_return_to_nothing(self):
+    def test_load_returns_to_zero(self):
         world = FleetWorld("a")
         placements = [world.send(make_prompt(100 + n)) for n in range(5)]
         self.assertEqual(5, world.fleet.read_own_load()["a"][0].requests)
@@ -250,19 +247,19 @@
         ranks = world.fleet.read_own_load()["a"]
         self.assertEqual(0, sum(rank.requests for rank in ranks))
         self.assertEqual(0, sum(rank.unread_tokens for rank in ranks))
-        # What was sent lately fades.
+        # Recently sent tokens decay.
         world.clock.now += 30
         self.assertEqual({}, world.fleet.read_own_load())
 
 
 class ColdTest(unittest.TestCase):
-    """The pattern: a region's endpoints come back cold together.
+    """Slow start of an endpoint that all entry VMs send to.
 
-    A cold one takes 3.3 requests a second from all entries, and crashes
-    well above that: 1.5 times the rate and three more in any second.
+    It accepts 3.3 requests a second in total, and crashes above 1.5 times
+    the rate plus three in any second.
     """
 
-    def test_entries_together_keep_to_the_rate(self):
+    def test_all_entries_together_keep_the_slow_start_rate(self):
         for entries in (1, 2, 3, 4, 12, 28):
             with self.subTest(entries=entries):
                 self.assertLessEqual(self.busiest_second(entries), 7)
@@ -285,7 +282,7 @@
             for begin in range(0, 1000, 5)
         )
 
-    def test_warm_endpoint_takes_what_it_can(self):
+    def test_endpoint_after_slow_start_is_unlimited(self):
         world = FleetWorld("a")
         for _ in range(20):
             self.assertIsNotNone(world.choose(make_prompt(10)))
--- a/tests/passthrough/test_limits.py
+++ b/tests/passthrough/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of limits that entries keep together without asking each other."""
+"""Tests of limits that entry VMs share without communication."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 
 
 class RetryBudgetTest(unittest.TestCase):
-    """The pattern: a service fails everything, and all entries retry."""
+    """Retries while a service fails every request."""
 
     def make(self, clock, entries):
         budget = RetryBudget(
@@ -30,10 +30,11 @@
         seen=strategies.lists(strategies.floats(0.75, 2.0), min_size=30),
         per_second=strategies.integers(0, 20),
     )
-    def test_sum_holds_with_views_that_differ(self, entries, seen, per_second):
-        # Entries count each other a little low, or high, while some start
-        # or are cut off. In no window may all retries together pass what
-        # the service was promised.
+    def test_total_holds_with_differing_counts_of_entries(
+        self, entries, seen, per_second
+    ):
+        # Guards against retries that exceed the limit in total while entry
+        # VMs disagree on how many of them there are.
         clock = SteppedClock()
         budgets = [
             self.make(clock, max(1, round(entries * seen[n])))
@@ -53,12 +54,12 @@
             asked = sum(end - WINDOW < at <= end for at in firsts)
             self.assertLessEqual(sent, RATIO * asked + BURST)
 
-    def test_lone_failure_may_always_be_retried(self):
+    def test_single_failure_can_always_be_retried(self):
         budget = self.make(SteppedClock(), entries=7)
         budget.note_request("s")
         self.assertTrue(budget.take("s"))
 
-    def test_services_have_budgets_of_their_own(self):
+    def test_services_have_separate_budgets(self):
         budget = self.make(SteppedClock(), entries=1)
         while budget.take("a"):
             pass
--- a/tests/passthrough/test_patience.py
+++ b/tests/passthrough/test_patience.py
@@ -1,90 +1,91 @@
-"""Tests of when a silent attempt is given up."""
+"""Tests of when an idle attempt is aborted."""
 
 import asyncio
 import unittest
 
-from burdockdrum.passthrough.patience import SilenceWatch
+from burdockdrum.passthrough.patience import AttemptWatchdog
 from burdockdrum.testing import run_virtual
 
 
-class Scene:
-    """A watch over an attempt, and when it was given up."""
+class Scenario:
+    """A watchdog of an attempt, and when it aborted the attempt."""
 
     def __init__(self):
-        """Watch with nowhere to go."""
-        self.has_other = False
-        self.asked = 0
-        self.given_up_at = None
+        """Start a watchdog without an alternative target."""
+        self.has_alternative = False
+        self.checks = 0
+        self.aborted_at = None
         self.loop = asyncio.get_running_loop()
         self.began = self.loop.time()
-        self.watch = SilenceWatch(
-            seconds=0.4,
-            seconds_between=1.5,
-            may_leave=self.may_leave,
-            give_up=self.give_up,
+        self.watchdog = AttemptWatchdog(
+            first_part_timeout_seconds=0.4,
+            idle_timeout_seconds=1.5,
+            may_retry=self.may_retry,
+            abort=self.abort,
         )
 
-    def may_leave(self):
-        """Say whether there is another place."""
-        self.asked += 1
-        return self.has_other
+    def may_retry(self):
+        """Return whether there is an alternative target."""
+        self.checks += 1
+        return self.has_alternative
 
-    def give_up(self, reason):
-        """Note the time."""
+    def abort(self, reason):
+        """Record the reason and the time."""
         self.reason = reason
-        self.given_up_at = self.loop.time() - self.began
+        self.aborted_at = self.loop.time() - self.began
 
 
 def play(test):
     """Run a test under virtual time."""
 
     async def main():
-        await test(Scene())
+        await test(Scenario())
 
     run_virtual(main())
 
 
 class SilenceWatchTest(unittest.TestCase):
-    """Silent attempts, with and without another place."""
+    """Idle attempts, with and without an alternative target."""
 
-    def test_silent_attempt_is_given_up_where_another_place_is(self):
-        async def check(scene):
-            scene.has_other = True
+    def test_idle_attempt_is_aborted_if_there_is_an_alternative(self):
+        async def check(scenario):
+            scenario.has_alternative = True
             await asyncio.sleep(1)
-            self.assertAlmostEqual(0.4, scene.given_up_at)
-            self.assertEqual("gave nothing", scene.reason)
+            self.assertAlmostEqual(0.4, scenario.aborted_at)
+            self.assertEqual("received no data", scenario.reason)
 
         play(check)
 
-    def test_it_is_kept_until_another_place_has_room(self):
-        # Every endpoint is full for a second; then one has room.
-        async def check(scene):
+    def test_idle_attempt_is_kept_until_there_is_an_alternative(self):
+        # Guards against aborting an attempt while no other endpoint has free
+        # capacity.
+        async def check(scenario):
             await asyncio.sleep(1)
-            self.assertIsNone(scene.given_up_at)
-            scene.has_other = True
+            self.assertIsNone(scenario.aborted_at)
+            scenario.has_alternative = True
             await asyncio.sleep(0.3)
-            self.assertLess(scene.given_up_at, 1.3)
-            self.assertGreater(scene.asked, 2)
+            self.assertLess(scenario.aborted_at, 1.3)
+            self.assertGreater(scenario.checks, 2)
 
         play(check)
 
-    def test_parts_keep_it(self):
-        async def check(scene):
-            scene.has_other = True
+    def test_chunks_restart_the_idle_timeout(self):
+        async def check(scenario):
+            scenario.has_alternative = True
             for _ in range(10):
                 await asyncio.sleep(0.3)
-                scene.watch.note_part()
-            self.assertIsNone(scene.given_up_at)
+                scenario.watchdog.record_chunk()
+            self.assertIsNone(scenario.aborted_at)
             await asyncio.sleep(2)
-            self.assertAlmostEqual(4.5, scene.given_up_at)
+            self.assertAlmostEqual(4.5, scenario.aborted_at)
 
         play(check)
 
-    def test_one_that_has_ended_is_watched_no_longer(self):
-        async def check(scene):
-            scene.has_other = True
-            scene.watch.stop()
+    def test_stopped_watchdog_never_aborts(self):
+        async def check(scenario):
+            scenario.has_alternative = True
+            scenario.watchdog.stop()
             await asyncio.sleep(2)
-            self.assertIsNone(scene.given_up_at)
+            self.assertIsNone(scenario.aborted_at)
 
         play(check)
--- a/tests/passthrough/test_placing.py
+++ b/tests/passthrough/test_placing.py
@@ -1,4 +1,4 @@
-"""Tests of who is taken, who is refused, and when to come back."""
+"""Tests of load shedding and of its Retry-After."""
 
 import random
 import unittest
@@ -21,10 +21,10 @@
 
 
 class OverloadTest(unittest.TestCase):
-    """The pattern: a burst on the one endpoint of a region, nowhere to go.
+    """A burst on the only endpoint, without another region to spill to.
 
-    The objective is 1 s. What waits for less is in time and taken; what
-    waits for longer would be late, and hold up those who come after it.
+    Requests that would miss the latency objective of 1 s are refused, as they
+    would make later ones miss it too.
     """
 
     def setUp(self):
@@ -64,60 +64,59 @@
             attempts=2,
         )
 
-    def fill(self, seconds):
+    def fill_queue(self, seconds):
         tokens = int(seconds / self.token_seconds)
         self.world.others["a"] = Load.of([RankLoad(0, 1, tokens, waiting=1)])
 
-    def test_what_would_be_in_time_is_taken(self):
-        self.fill(0.9)
+    def test_request_within_its_objective_is_accepted(self):
+        self.fill_queue(0.9)
         place = self.make_placing().place(self.make_request(), Progress())
         self.assertIsInstance(place, EndpointPlace)
 
-    def test_what_would_be_late_is_refused_at_once(self):
-        # It has not run, and may come back when the queue has gone down to
-        # what is in time: 0.5 s from now.
-        self.fill(1.5)
+    def test_request_beyond_its_objective_is_refused(self):
+        # Retry-After is the time until the queue is short enough.
+        self.fill_queue(1.5)
         with self.assertRaises(Refusal) as raised:
             self.make_placing().place(self.make_request(), Progress())
         self.assertIs(Verdict.NOT_RUN, raised.exception.verdict)
         self.assertAlmostEqual(0.5, raised.exception.retry_after, delta=0.1)
 
-    def test_time_to_read_its_own_prompt_counts(self):
-        """Prompts are let in that are late once they have been read."""
+    def test_own_prefill_time_counts(self):
+        """Guards against accepting prompts whose own prefill is too late."""
         tokens = int(0.3 / self.token_seconds)
         place = self.make_placing().place
-        self.fill(0.5)
+        self.fill_queue(0.5)
         place(self.make_request(tokens=tokens), Progress())
-        self.fill(0.85)
+        self.fill_queue(0.85)
         place(self.make_request(), Progress())
         with self.assertRaises(Refusal):
             place(self.make_request(tokens=tokens), Progress())
 
-    def test_longest_prompts_are_not_kept_out(self):
-        """The largest requests are refused under any load."""
+    def test_longest_prompts_are_accepted(self):
+        """Guards against refusing the longest prompts at any load."""
         tokens = int(1.5 / self.token_seconds)
-        self.fill(0.2)
+        self.fill_queue(0.2)
         request = self.make_request(tokens=tokens)
         place = self.make_placing().place(request, Progress())
         self.assertIsInstance(place, EndpointPlace)
 
-    def test_what_is_late_already_waits_a_moment_at_most(self):
-        # It was held while the routes were learned. There is room for it
-        # only where it takes little from those who are in time.
+    def test_request_past_its_objective_queues_only_briefly(self):
+        # Guards against a late request delaying those that are in time. It
+        # was held while the routes were not known yet.
         request = self.make_request(since=2.0)
-        self.fill(MIN_QUEUE_SECONDS / 2)
+        self.fill_queue(MIN_QUEUE_SECONDS / 2)
         place = self.make_placing().place(request, Progress())
         self.assertIsInstance(place, EndpointPlace)
-        self.fill(MIN_QUEUE_SECONDS * 2)
+        self.fill_queue(MIN_QUEUE_SECONDS * 2)
         with self.assertRaises(Refusal):
             self.make_placing().place(request, Progress())
 
-    def test_operator_may_have_all_wait_until_their_deadline(self):
+    def test_early_refusal_can_be_disabled(self):
         placing = self.make_placing(early_refusal=False)
-        self.fill(2.5)
+        self.fill_queue(2.5)
         place = placing.place(self.make_request(), Progress())
         self.assertIsInstance(place, EndpointPlace)
-        self.fill(3.5)
+        self.fill_queue(3.5)
         with self.assertRaises(Refusal):
             placing.place(self.make_request(), Progress())
 
