--- a/tests/passthrough/test_regions.py
+++ b/tests/passthrough/test_regions.py
@@ -1,7 +1,7 @@
-"""Tests of what other regions are expected to offer.
+"""Tests of spill-over to other regions.
 
-The pattern is a daily peak that moves from region to region: the region at
-its peak has queues, others are idle and hold what is asked for.
+The local region is at its daily peak and has queues, the other one is idle
+and has prefixes cached.
 """
 
 import random
@@ -35,7 +35,7 @@
 
 
 class MovingPeakTest(unittest.TestCase):
-    """Who is sent to another region, and who stays."""
+    """Which requests are forwarded to another region."""
 
     def setUp(self):
         self.world = FleetWorld("a")
@@ -74,11 +74,11 @@
             attempts=2,
         )
 
-    def fill(self, seconds):
+    def fill_queue(self, seconds):
         tokens = int(seconds / self.token_seconds)
         self.world.others["a"] = Load.of([RankLoad(0, 1, tokens, waiting=1)])
 
-    def hold(self, endpoint_id, data_centre):
+    def report_prefix(self, endpoint_id, data_centre):
         self.world.ledger.take(
             HeldChange(
                 endpoint_id=endpoint_id,
@@ -92,44 +92,43 @@
             self.world.clock.now,
         )
 
-    def test_prompt_goes_where_its_beginning_is_held(self):
-        # Here it waits 0.35 s and then has 3,700 tokens read. In the other
-        # region all of it would be read, were its beginning not held there:
-        # then it is answered sooner in spite of the way.
-        self.fill(0.4)
-        self.hold("a", "dc")
+    def test_prompt_goes_where_its_prefix_is_cached(self):
+        # Guards against forwarding a request to a region where its whole
+        # prompt must be prefilled, and against not using a prefix there.
+        self.fill_queue(0.4)
+        self.report_prefix("a", "dc")
         placing = self.make_placing()
         request = self.make_request(PLAN)
         self.assertIsInstance(
             placing.place(request, Progress()), EndpointPlace
         )
-        self.hold("far-1", "there")
-        self.fill(0.45)
+        self.report_prefix("far-1", "there")
+        self.fill_queue(0.45)
         self.assertIsInstance(placing.place(request, Progress()), RegionPlace)
 
-    def test_fetch_from_here_counts_less_than_reading_it_all(self):
-        # Only an endpoint here holds the beginning. One there would fetch
-        # it, which takes less than reading 13,300 tokens.
-        self.hold("a", "dc")
+    def test_remote_prefill_accounts_for_a_fetch_from_here(self):
+        # Guards against overestimating a remote prefill: an endpoint there
+        # can fetch the prefix from here.
+        self.report_prefix("a", "dc")
         unread, fetch = self.world.fleet.beginnings.expect_elsewhere(
             MODEL, PLAN, "over", ()
         )
         self.assertEqual(3_700, unread)
         self.assertTrue(fetch.is_far)
 
-    def test_homes_bind_what_is_fetched(self):
-        # What may not be processed in a region may not be fetched there.
-        self.hold("a", "dc")
+    def test_homes_restrict_fetches(self):
+        # Guards against a violation of residency by fetching data from a
+        # region where it must not be processed.
+        self.report_prefix("a", "dc")
         unread, fetch = self.world.fleet.beginnings.expect_elsewhere(
             MODEL, PLAN, "over", ("over",)
         )
         self.assertEqual(17_000, unread)
         self.assertIsNone(fetch)
 
-    def test_urgent_request_goes_elsewhere_before_it_pushes_another_out(self):
-        # All slots here are taken, one of them by a long request that is
-        # less urgent. An engine would put that one back, and its caller
-        # would get nothing for a second; the other region has free slots.
+    def test_urgent_request_is_forwarded_rather_than_preempting(self):
+        # Guards against preempting a less urgent request at a full endpoint
+        # while another region has free slots.
         self.world.others["a"] = Load.of(
             [RankLoad(0, 7, 0, 0, 0), RankLoad(1, 1, 0, 0, 0)]
         )
@@ -141,10 +140,9 @@
             placing.place(request, Progress()), EndpointPlace
         )
 
-    def test_long_body_needs_a_better_reason(self):
-        # The answer would come 0.05 s sooner; a megabyte on its way between
-        # regions counts 1.5 s.
-        self.fill(0.62)
+    def test_long_body_is_forwarded_only_for_a_larger_gain(self):
+        # Guards against paying for the traffic of a long body to save 0.05 s.
+        self.fill_queue(0.62)
         prompt = make_prompt(1000)
         placing = self.make_placing(crossing_seconds=1.5)
         short = self.make_request(prompt, b"x" * 1000)
--- a/tests/passthrough/test_stale.py
+++ b/tests/passthrough/test_stale.py
@@ -1,4 +1,4 @@
-"""Tests of choices by loads that are a moment old."""
+"""Tests of load balancing with stale load information."""
 
 import collections
 import random
@@ -17,28 +17,26 @@
 
 
 class LevelTest(unittest.TestCase):
-    """The level that work to come fills the lowest waits up to."""
+    """The level to which expected work raises the lowest waits."""
 
-    def test_work_goes_to_the_lowest_first(self):
+    def test_work_fills_the_lowest_waits_first(self):
         self.assertAlmostEqual(0.3, find_level([0.1, 1.0], 0.2))
         self.assertAlmostEqual(1.0, find_level([0.1, 1.0], 0.9))
         self.assertAlmostEqual(1.5, find_level([0.1, 1.0], 1.9))
 
     @drawn(200)
     @given(WAITS, strategies.floats(min_value=0.002, max_value=50))
-    def test_what_is_filled_up_is_what_comes(self, waits, coming):
-        level = find_level(waits, coming)
+    def test_filled_work_equals_expected_work(self, waits, expected_work):
+        level = find_level(waits, expected_work)
         filled = sum(max(0.0, level - wait) for wait in waits)
-        self.assertAlmostEqual(coming, filled, places=6)
+        self.assertAlmostEqual(expected_work, filled, places=6)
 
 
 class HerdTest(unittest.TestCase):
-    """28 entries before 14 endpoints, 430 requests a second.
+    """Guards against the herd effect.
 
-    A request takes 20 ms of reading, so the endpoints are busy for 61% of
-    the time. Each entry sees what was under way half a second ago, and
-    sends 215 requests until it hears again: the busiest region of a
-    deployment of the users', at its peak.
+    Between two load reports, 215 requests of 20 ms each are sent to 14
+    endpoints, which are 61% utilized.
     """
 
     ENDPOINTS = 14
@@ -62,19 +60,19 @@
             queues = [max(0.0, queue - step) for queue in queues]
         return sum(waits) / len(waits)
 
-    def test_waits_are_a_fraction_of_those_of_the_emptiest(self):
-        coming = self.PER_SECOND * self.READING * self.LAG
+    def test_mean_wait_is_far_below_that_of_the_least_loaded_choice(self):
+        expected_work = self.PER_SECOND * self.READING * self.LAG
 
-        def emptiest(seen, rng):
+        def least_loaded(seen, rng):
             best = min(seen)
             near = [i for i, wait in enumerate(seen) if wait <= best + 0.002]
             return rng.choice(near)
 
-        herd = self.play(emptiest)
-        level = self.play(lambda seen, rng: draw(seen, coming, rng))
+        herd = self.play(least_loaded)
+        level = self.play(lambda seen, rng: draw(seen, expected_work, rng))
         self.assertLess(level, herd / 4)
 
-    def test_without_lag_the_emptiest_is_chosen(self):
+    def test_without_lag_the_least_loaded_is_chosen(self):
         rng = random.Random(1)
         counts = collections.Counter(
             draw([0.2, 0.05, 0.3], 0.002, rng) for _ in range(100)
