--- a/burdockdrum/routing/__init__.py
+++ b/burdockdrum/routing/__init__.py
@@ -1,4 +1,9 @@
-"""Where a request goes: an endpoint here, or another data centre."""
+"""Routing of a request to a local endpoint or to another data centre.
+
+The router estimates load, speed and health of endpoints from the outcomes of
+real requests and from their reports, and forwards a request to another data
+centre when that finishes it sooner.
+"""
 
 from burdockdrum.routing.attempts import Attempt
 from burdockdrum.routing.elsewhere import MAX_HOPS
--- a/burdockdrum/routing/attempts.py
+++ b/burdockdrum/routing/attempts.py
@@ -1,4 +1,4 @@
-"""One request at one endpoint, for the router to learn from."""
+"""An attempt at an endpoint, which reports its timing to the router."""
 
 from collections.abc import Callable
 
@@ -11,12 +11,12 @@
 
 
 class Attempt:
-    """An attempt that was counted and has to be finished.
+    """An attempt in flight, which must be finished.
 
-    ``load`` is what the endpoint had when it began, ``tokens_read`` the
-    tokens of the prompt that were thought not to be in its cache, and
-    ``expected_first`` the seconds to the first token at the service's
-    typical speed.
+    ``load`` is the estimated number of requests at the endpoint when the
+    attempt began, ``uncached_tokens`` the prompt tokens that were assumed
+    not to be cached, and ``expected_first_token`` the seconds to the first
+    token at the service's typical speed.
     """
 
     def __init__(
@@ -28,19 +28,19 @@
         demand: Demand,
         tracker: EndpointTracker,
         load: float,
-        tokens_read: float,
-        expected_first: float,
+        uncached_tokens: float,
+        expected_first_token: float,
         on_first_token: Callable[["Attempt", float], None],
         on_finish: Callable[["Attempt", AttemptFacts], None],
     ) -> None:
-        """Note that the attempt has begun."""
+        """Start timing the attempt."""
         self.number = number
         self.endpoint = endpoint
         self.demand = demand
         self.tracker = tracker
         self.load = load
-        self.tokens_read = tokens_read
-        self.expected_first = expected_first
+        self.uncached_tokens = uncached_tokens
+        self.expected_first_token = expected_first_token
         self._clock = clock
         self._on_first_token = on_first_token
         self._on_finish = on_finish
@@ -49,16 +49,16 @@
         self._finished = False
 
     def note_first_token(self) -> None:
-        """Note that the first part of the answer has come."""
+        """Record the arrival of the first part of the answer."""
         if self._first_token_seconds is None:
             seconds = self._clock.monotonic() - self._started_at
             self._first_token_seconds = seconds
             self._on_first_token(self, seconds)
 
     def finish(self, outcome: AttemptOutcome, *, tokens: int = 0) -> None:
-        """Note how the attempt ended; later calls change nothing.
+        """Record how the attempt ended; later calls have no effect.
 
-        :param tokens: generated, or 0 if nobody counted
+        :param tokens: number of generated tokens, or 0 if unknown
         """
         if self._finished:
             return
--- a/burdockdrum/routing/elsewhere.py
+++ b/burdockdrum/routing/elsewhere.py
@@ -1,4 +1,9 @@
-"""Choose among the other data centres, by their summaries."""
+"""Selection among the other data centres.
+
+Each data centre publishes summaries of its free capacity. A summary is out
+of date when it arrives, so it is corrected for its age and for the requests
+that this VM has forwarded since.
+"""
 
 import collections
 from dataclasses import dataclass
@@ -9,47 +14,49 @@
 from burdockdrum.ports import Clock
 from burdockdrum.routing.model import Demand
 from burdockdrum.routing.model import ToDataCentre
-from burdockdrum.routing.placements import PlacementMemory
+from burdockdrum.routing.placements import PrefixPlacements
 from burdockdrum.routing.speed import Speed
 from burdockdrum.vms import ServiceSummary
 from burdockdrum.vms import VmDirectory
 
-# A request is passed on at most so many times, by whichever views.
+# Maximum number of times that a request is forwarded.
 MAX_HOPS = 2
-# The share of a data centre's slots that its own callers are thought to
-# fill in each second since its summary was made.
-FILL_PER_SECOND = 0.02
-# Own forwards count against a summary's room until it can show them.
-FORWARD_SHOWS_SECONDS = 1.5
-# A data centre that refused a request is not asked for so long: its summary
-# comes every half second, and is late.
-REFUSED_SECONDS = 0.6
+# Estimated fraction of a data centre's slots that its local callers occupy
+# per second of the summary's age.
+LOCAL_FILL_FRACTION_PER_SECOND = 0.02
+# Forwards of this VM are subtracted from a summary's free capacity until
+# the summary can be expected to include them.
+SUMMARY_DELAY_SECONDS = 1.5
+# A data centre that refused a request is avoided until a newer summary has
+# arrived; summaries are sent every 0.5 s.
+REFUSAL_BACKOFF_SECONDS = 0.6
 
 
 @dataclass(frozen=True, kw_only=True)
-class Offer:
-    """A data centre that would take a request, and when it would begin.
+class RemoteOption:
+    """A data centre evaluated for one request.
 
-    ``room`` is what it has beyond the part reserved for its own callers;
-    ``run`` is the time in a slot there, ``refused`` says that it refused a
-    request a moment ago.
+    ``free_capacity`` is in requests, without the reserve for its local
+    callers. ``first_token``, ``finish`` and ``run`` are in seconds;
+    ``run`` is the time spent in a slot. ``refused`` is true if it refused a
+    request within the last ``REFUSAL_BACKOFF_SECONDS``.
     """
 
     data_centre: str
-    room: float
+    free_capacity: float
     refused: bool
     first_token: float
     finish: float
     run: float
 
 
-def reserve_of(slots: int, share: float) -> float:
-    """Return the slots that a data centre keeps for its own callers."""
+def reserved_slots(slots: int, share: float) -> float:
+    """Return the slots that a data centre reserves for its local callers."""
     return max(1.0, slots * share)
 
 
-class Elsewhere:
-    """The other data centres as one VM sees them."""
+class RemoteDataCentres:
+    """The other data centres, as known to this VM from their summaries."""
 
     def __init__(
         self,
@@ -60,29 +67,29 @@
         wide_area_seconds: float,
         spill_reserve: float,
     ) -> None:
-        """Create a view without forwards."""
+        """Create a view without recorded forwards."""
         self._clock = clock
         self._rng = rng
         self._vms = vms
         self._wide_area_seconds = wide_area_seconds
         self._spill_reserve = spill_reserve
-        self._placements = PlacementMemory(capacity=10_000)
+        self._placements = PrefixPlacements(capacity=10_000)
         self._forwards: dict[str, collections.deque[float]] = {}
         self._refused_at: dict[str, float] = {}
 
-    def find_offers(self, demand: Demand, speed: Speed) -> list[Offer]:
-        """Return the data centres that may run a request, best first."""
+    def find_options(self, demand: Demand, speed: Speed) -> list[RemoteOption]:
+        """Return the eligible data centres, earliest finish first."""
         summaries = self._find_summaries(demand)
         depths = self._placements.depths(demand.prefix_hashes)
-        offers = [
-            self._make_offer(name, summary, age, demand, speed, depths)
+        options = [
+            self._evaluate(name, summary, age, demand, speed, depths)
             for name, (summary, age) in summaries.items()
         ]
-        self._rng.shuffle(offers)
-        return sorted(offers, key=lambda offer: offer.finish)
+        self._rng.shuffle(options)
+        return sorted(options, key=lambda option: option.finish)
 
     def forward(self, demand: Demand, data_centre: str) -> ToDataCentre:
-        """Count a request that is passed on, and name the entries."""
+        """Record a forward; return the entry VMs in random order."""
         self._placements.remember(demand.prefix_hashes, data_centre)
         forwards = self._forwards.setdefault(data_centre, collections.deque())
         forwards.append(self._clock.monotonic())
@@ -94,15 +101,14 @@
         self._rng.shuffle(entries)
         return ToDataCentre(data_centre=data_centre, entries=tuple(entries))
 
-    def note_refused(self, data_centre: str) -> None:
-        """Offer nothing of a data centre until its view is newer."""
+    def record_refusal(self, data_centre: str) -> None:
+        """Treat a data centre as full for ``REFUSAL_BACKOFF_SECONDS``."""
         self._refused_at[data_centre] = self._clock.monotonic()
 
-    def equal_part(self, service: str) -> float:
-        """Return the slots elsewhere that are this data centre's part.
+    def equal_share(self, service: str) -> float:
+        """Return this data centre's equal share of all remote slots.
 
-        What survives is split evenly among the data centres that there
-        were: it bounds a line where there is no endpoint at home.
+        It limits the queue of a data centre that has no endpoint itself.
         """
         own = self._vms.identity.data_centre
         slots_by_data_centre = {
@@ -117,7 +123,7 @@
     def _find_summaries(
         self, demand: Demand
     ) -> dict[str, tuple[ServiceSummary, float]]:
-        """Return each permitted data centre's latest summary and its age."""
+        """Return the latest summary and its age by eligible data centre."""
         now = self._clock.monotonic()
         own = self._vms.identity.data_centre
         found: dict[str, tuple[ServiceSummary, float]] = {}
@@ -140,7 +146,7 @@
                     found[name] = (summary, age)
         return found
 
-    def _make_offer(
+    def _evaluate(
         self,
         name: str,
         summary: ServiceSummary,
@@ -148,43 +154,49 @@
         demand: Demand,
         speed: Speed,
         depths: dict[str, int],
-    ) -> Offer:
-        room = float(summary.room - self._recent_forwards(name))
-        room -= summary.slots * FILL_PER_SECOND * age
-        room -= reserve_of(summary.slots, self._spill_reserve)
-        # The state that is warm here is lost there: the prompt is read
-        # again, but for what was sent there before.
+    ) -> RemoteOption:
+        free_capacity = float(summary.room - self._recent_forwards(name))
+        free_capacity -= summary.slots * LOCAL_FILL_FRACTION_PER_SECOND * age
+        free_capacity -= reserved_slots(summary.slots, self._spill_reserve)
+        # Cached prefixes are local to a data centre: another one processes
+        # the whole prompt, except for prefixes forwarded to it before.
         blocks = len(demand.prefix_hashes)
-        warm = depths.get(name, 0) / blocks if blocks else 0.0
-        read = demand.prompt_tokens * (1 - warm) * speed.prefill
-        refused = self._has_refused(name)
+        cached_fraction = depths.get(name, 0) / blocks if blocks else 0.0
+        prefill = (
+            demand.prompt_tokens
+            * (1 - cached_fraction)
+            * speed.prefill_seconds
+        )
+        refused = self._refused_recently(name)
         if refused:
-            room = min(0.0, room)
-        run = demand.max_tokens * speed.token
+            free_capacity = min(0.0, free_capacity)
+        run = demand.max_tokens * speed.decode_seconds
         wait = 0.0
-        if room < 1:
-            # What was sent there since has joined the line.
+        if free_capacity < 1:
+            # Requests forwarded since the summary are queued there as well.
             ahead = self._recent_forwards(name) * run
             wait = summary.queue_seconds + ahead / max(1, summary.slots)
-        first = 2 * self._wide_area_seconds + read + wait + speed.token
-        return Offer(
+        first = (
+            2 * self._wide_area_seconds + prefill + wait + speed.decode_seconds
+        )
+        return RemoteOption(
             data_centre=name,
-            room=room,
+            free_capacity=free_capacity,
             refused=refused,
             first_token=first,
             finish=first + run,
-            run=read + run,
+            run=prefill + run,
         )
 
-    def _has_refused(self, name: str) -> bool:
+    def _refused_recently(self, name: str) -> bool:
         refused_at = self._refused_at.get(name, -math.inf)
-        return self._clock.monotonic() - refused_at < REFUSED_SECONDS
+        return self._clock.monotonic() - refused_at < REFUSAL_BACKOFF_SECONDS
 
     def _recent_forwards(self, name: str) -> int:
         forwards = self._forwards.get(name)
         if not forwards:
             return 0
-        limit = self._clock.monotonic() - FORWARD_SHOWS_SECONDS
+        limit = self._clock.monotonic() - SUMMARY_DELAY_SECONDS
         while forwards and forwards[0] < limit:
             forwards.popleft()
         return len(forwards)
--- a/burdockdrum/routing/fleet.py
+++ b/burdockdrum/routing/fleet.py
@@ -1,4 +1,8 @@
-"""The endpoints of this data centre as this VM has come to know them."""
+"""Estimates for the endpoints of this data centre.
+
+For each request the eligible endpoints are evaluated: their load, free
+capacity, cached prefix and the resulting time to first token and to the end.
+"""
 
 from dataclasses import dataclass
 import math
@@ -10,33 +14,36 @@
 from burdockdrum.ports import Clock
 from burdockdrum.routing.model import Demand
 from burdockdrum.routing.model import Estimate
-from burdockdrum.routing.placements import PlacementMemory
+from burdockdrum.routing.placements import PrefixPlacements
 from burdockdrum.routing.speed import Speed
 from burdockdrum.routing.tracking import EndpointTracker
 from burdockdrum.settings import PolicySettings
 
-# The age of a report at which a third of it is still believed.
-TRUST_SECONDS = 1.0
-# Weighing costs about 12 µs an endpoint: 160 would cost 2 ms a request.
-MAX_WEIGHED = 24
-MAX_WARM = 3
-_SPEED_SECONDS = 1.0
+# Time constant of the exponential decay of a report's weight.
+REPORT_DECAY_SECONDS = 1.0
+# Bounds the cost of evaluation per request, whatever the number of endpoints.
+MAX_EVALUATED_ENDPOINTS = 24
+MAX_PREFIX_MATCHES = 3
+_SPEED_CACHE_SECONDS = 1.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Option:
-    """An endpoint weighed for one request; ``room`` is in requests."""
+    """An endpoint evaluated for one request.
+
+    ``load`` and ``free_capacity`` are in requests.
+    """
 
     endpoint: Endpoint
     tracker: EndpointTracker
     load: float
-    room: float
-    tokens_read: float
+    free_capacity: float
+    uncached_tokens: float
     estimate: Estimate
 
 
 class Fleet:
-    """Trackers by endpoint, and requests weighed against them."""
+    """The tracked endpoints of this data centre."""
 
     def __init__(
         self,
@@ -47,8 +54,8 @@
         region: str,
         policy: PolicySettings,
     ) -> None:
-        """Create a fleet of which nothing is known."""
-        self.placements = PlacementMemory()
+        """Create a fleet without trackers."""
+        self.placements = PrefixPlacements()
         self._clock = clock
         self._rng = rng
         self._endpoints = endpoints
@@ -57,29 +64,29 @@
         self._trackers_by_id: dict[str, EndpointTracker] = {}
         self._speeds_by_service: dict[str, tuple[float, Speed]] = {}
 
-    def room(self, service: str) -> float:
-        """Return how many requests could start at once here."""
+    def free_capacity(self, service: str) -> float:
+        """Return how many more requests the local endpoints can run now."""
         total = 0.0
         now = self._clock.monotonic()
         candidates = self._endpoints.candidates(service)
         loads = self.estimate_loads(candidates)
         for endpoint in candidates:
             tracker = self.track(endpoint)
-            if not tracker.is_silent(now):
+            if not tracker.is_unresponsive(now):
                 load = loads[endpoint.endpoint_id]
                 total += max(0.0, tracker.current_limit(now) - load)
         return total
 
     def mean_service_seconds(self, service: str) -> float:
-        """Return how long a request has run lately."""
+        """Return the mean time in seconds that a request occupies a slot."""
         times = [
             self.track(endpoint).service_seconds
             for endpoint in self._endpoints.candidates(service)
         ]
         return statistics.fmean(times) if times else 1.0
 
-    def weigh(self, demand: Demand) -> list[Option]:
-        """Return the endpoints here that may be sent the request."""
+    def evaluate(self, demand: Demand) -> list[Option]:
+        """Return the local endpoints that are eligible for a request."""
         if self._region not in demand.regions:
             return []
         now = self._clock.monotonic()
@@ -93,18 +100,18 @@
             if endpoint.endpoint_id in demand.excluded_endpoints:
                 continue
             tracker = self.track(endpoint)
-            if tracker.current_limit(now) <= 0 or tracker.is_silent(now):
+            if tracker.current_limit(now) <= 0 or tracker.is_unresponsive(now):
                 continue
             if tracker.suspects and not demand.isolated:
                 continue
-            option = self.weigh_one(
+            option = self.evaluate_endpoint(
                 endpoint,
                 tracker,
                 demand,
                 depths,
                 loads[endpoint.endpoint_id],
             )
-            if tracker.health.is_on_trial(now) and option.room < 1:
+            if tracker.health.is_half_open(now) and option.free_capacity < 1:
                 continue
             options.append(option)
         return options
@@ -112,25 +119,29 @@
     def _sample(
         self, endpoints: list[Endpoint], depths: dict[str, int]
     ) -> list[Endpoint]:
-        """Return at most so many endpoints that weighing them stays cheap.
+        """Return a bounded number of endpoints to evaluate.
 
-        They are drawn at random, and those that were last sent the most of
-        the prompt are added.
+        A random sample, plus the endpoints that were last sent the longest
+        prefix of the prompt.
         """
-        if len(endpoints) <= MAX_WEIGHED:
+        if len(endpoints) <= MAX_EVALUATED_ENDPOINTS:
             return endpoints
         chosen = {
             endpoint.endpoint_id: endpoint
-            for endpoint in self._rng.sample(endpoints, MAX_WEIGHED)
+            for endpoint in self._rng.sample(
+                endpoints, MAX_EVALUATED_ENDPOINTS
+            )
         }
         deepest = sorted(depths, key=lambda name: -depths[name])
-        warm = {name.rpartition("@")[0] for name in deepest[:MAX_WARM]}
+        matching = {
+            name.rpartition("@")[0] for name in deepest[:MAX_PREFIX_MATCHES]
+        }
         for endpoint in endpoints:
-            if endpoint.endpoint_id in warm:
+            if endpoint.endpoint_id in matching:
                 chosen[endpoint.endpoint_id] = endpoint
         return list(chosen.values())
 
-    def weigh_one(
+    def evaluate_endpoint(
         self,
         endpoint: Endpoint,
         tracker: EndpointTracker,
@@ -140,35 +151,39 @@
     ) -> Option:
         limit = tracker.current_limit(self._clock.monotonic())
         blocks = len(demand.prefix_hashes)
-        depth = self._depth(endpoint, tracker, demand, depths)
-        warm = depth / blocks if blocks else 0.0
-        tokens_read = demand.prompt_tokens * (1 - warm)
+        depth = self._count_cached_blocks(endpoint, tracker, demand, depths)
+        cached_fraction = depth / blocks if blocks else 0.0
+        uncached_tokens = demand.prompt_tokens * (1 - cached_fraction)
         speed = tracker.speed.speed
         ahead = max(0.0, load + 1 - limit)
         wait = ahead * tracker.service_seconds / max(1.0, limit)
-        # Prompts of others are read between the tokens of this one, so the
-        # busier endpoint is also the slower one.
-        crowd = 0.85 + 0.3 * min(1.0, load / max(1.0, limit))
-        first = wait + (tokens_read * speed.prefill + speed.token) * crowd
-        finish = first + demand.max_tokens * speed.token * crowd
+        # Prefill of other requests is interleaved with decoding, so a busy
+        # endpoint is also slower.
+        contention = 0.85 + 0.3 * min(1.0, load / max(1.0, limit))
+        first = (
+            wait
+            + (uncached_tokens * speed.prefill_seconds + speed.decode_seconds)
+            * contention
+        )
+        finish = first + demand.max_tokens * speed.decode_seconds * contention
         return Option(
             endpoint=endpoint,
             tracker=tracker,
             load=load,
-            room=limit - load,
-            tokens_read=tokens_read,
+            free_capacity=limit - load,
+            uncached_tokens=uncached_tokens,
             estimate=Estimate(
                 first_token=first, finish=finish, run=finish - wait
             ),
         )
 
     def estimate_loads(self, endpoints: list[Endpoint]) -> dict[str, float]:
-        """Return the requests at each endpoint, all VMs' together.
+        """Return the estimated requests at each endpoint, of all VMs.
 
-        Own requests are counted as they are. Those of others are as old as
-        the report; the older it is, the more they are taken to be what
-        others have on average. Taken at its word, an old report that shows
-        one endpoint idle sends it the next requests of every VM.
+        This VM's requests are counted exactly. Those of other VMs come from
+        the last report, which is blended with the mean over the endpoints
+        as it ages. Without the blending, all VMs would send their requests
+        to the endpoint that an old report shows as idle.
         """
         now = self._clock.monotonic()
         others = {
@@ -181,23 +196,23 @@
         loads = {}
         for endpoint in endpoints:
             age = now - endpoint.reported_at
-            trust = math.exp(-age / TRUST_SECONDS)
+            trust = math.exp(-age / REPORT_DECAY_SECONDS)
             name = endpoint.endpoint_id
             expected = trust * others[name] + (1 - trust) * mean
-            loads[name] = self.track(endpoint).own.count + expected
+            loads[name] = self.track(endpoint).local_load.count + expected
         return loads
 
-    def _depth(
+    def _count_cached_blocks(
         self,
         endpoint: Endpoint,
         tracker: EndpointTracker,
         demand: Demand,
         depths: dict[str, int],
     ) -> int:
-        """Return how many leading blocks of a prompt it may hold.
+        """Return how many leading blocks of a prompt are probably cached.
 
-        What the engine tells is late and has gaps, but knows what was
-        dropped; where it tells nothing, own placements have to do.
+        Cache events of the engine are delayed and incomplete, but include
+        evictions, so they are preferred to this VM's own placements.
         """
         cache = self._endpoints.cache_of(endpoint.endpoint_id)
         if len(cache):
@@ -218,8 +233,8 @@
             start_speed=self.typical_speed(endpoint.service),
         )
         if known is not None:
-            # The same endpoint started again: its caches are empty.
-            tracker.health.start_slowly(self._clock.monotonic())
+            # The endpoint has restarted: its caches are empty.
+            tracker.health.begin_slow_start(self._clock.monotonic())
         self._trackers_by_id[endpoint.endpoint_id] = tracker
         return tracker
 
@@ -227,7 +242,7 @@
         """Return the median speed of a service's endpoints."""
         now = self._clock.monotonic()
         known = self._speeds_by_service.get(service)
-        if known is not None and now - known[0] < _SPEED_SECONDS:
+        if known is not None and now - known[0] < _SPEED_CACHE_SECONDS:
             return known[1]
         speeds = [
             self._trackers_by_id[endpoint.endpoint_id].speed.speed
@@ -237,8 +252,12 @@
         speed = Speed()
         if speeds:
             speed = Speed(
-                prefill=statistics.median(s.prefill for s in speeds),
-                token=statistics.median(s.token for s in speeds),
+                prefill_seconds=statistics.median(
+                    s.prefill_seconds for s in speeds
+                ),
+                decode_seconds=statistics.median(
+                    s.decode_seconds for s in speeds
+                ),
             )
         elif known is not None:
             speed = known[1]
@@ -256,7 +275,10 @@
 def _with_adapter(
     endpoints: list[Endpoint], adapter: str | None
 ) -> list[Endpoint]:
-    """Return those that have the adapter loaded, or all if none has."""
+    """Return the endpoints with the adapter loaded, or all if none has it.
+
+    Endpoints that only do prefill are left out.
+    """
     fitting = [e for e in endpoints if e.role != "prefill"]
     if adapter is None:
         return fitting
--- a/burdockdrum/routing/load.py
+++ b/burdockdrum/routing/load.py
@@ -1,19 +1,18 @@
-"""How loaded an endpoint is, from own work and late reports."""
+"""Estimation of an endpoint's load from its delayed reports."""
 
 import collections
 import math
 
-# Reports older than this are no use; the registry's lease is shorter.
+# Must exceed the registry's lease, so that every usable report is covered.
 HISTORY_SECONDS = 10.0
 
 
-class OwnLoad:
+class LocalLoad:
     """This VM's requests in flight at one endpoint, with their history.
 
-    A report is late: it counts some of the own requests that have ended
-    since and misses those begun since. With the history, what others have
-    there is the report less the own requests of that time, and the own
-    part is exact.
+    A report includes requests of this VM that have ended since and misses
+    those begun since. The load of other VMs is the reported load minus this
+    VM's requests at the time of the report.
     """
 
     def __init__(self) -> None:
@@ -24,7 +23,7 @@
         )
 
     def change(self, amount: int, now: float) -> None:
-        """Count requests that begin or, if negative, end."""
+        """Add requests that begin, or, with a negative amount, end."""
         self.count += amount
         self._changes.append((now, self.count))
         limit = now - HISTORY_SECONDS
@@ -32,12 +31,12 @@
             self._changes.popleft()
 
     def count_at(self, moment: float) -> int:
-        """Return the requests in flight at a moment of the recent past."""
+        """Return the requests in flight at a time within the history."""
         for changed_at, count in reversed(self._changes):
             if changed_at <= moment:
                 return count
         return self._changes[0][1]
 
     def estimate_others(self, reported: int, reported_at: float) -> int:
-        """Return others' requests at the time of a report."""
+        """Return the requests of other VMs at the time of a report."""
         return max(0, reported - self.count_at(reported_at))
--- a/burdockdrum/routing/model.py
+++ b/burdockdrum/routing/model.py
@@ -1,4 +1,4 @@
-"""What the router is asked, and what it answers."""
+"""The parameters and results of routing."""
 
 from dataclasses import dataclass
 import enum
@@ -9,13 +9,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Demand:
-    """What routing needs to know of a request.
+    """The properties of a request that routing depends on.
 
     ``deadline`` is on this VM's monotonic clock. ``rank`` is that of the
-    priority class, lower first. ``excluded_endpoints`` failed this request
-    already; ``hops`` are the data centres that passed it on. ``displaced`` is
-    true where the one that passed it on has no endpoint for it: the request
-    is no spill, and waits its turn like those of own callers.
+    priority class, lower first. ``excluded_endpoints`` have already failed
+    this request; ``hops`` are the data centres that forwarded it.
+    ``displaced`` is true if the forwarding data centre has no endpoint for
+    it: it is then queued like the requests of local callers, and the reserve
+    against spilled requests does not apply. ``isolated`` marks a suspect of
+    the quarantine, which runs apart from other requests.
     """
 
     service: str
@@ -37,9 +39,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Estimate:
-    """What a request may expect, in seconds from now.
+    """Estimated times of a request, in seconds from now.
 
-    ``run`` is the part of ``finish`` that it spends in a slot.
+    ``run`` is the part of ``finish`` that is spent in a slot.
     """
 
     first_token: float
@@ -49,11 +51,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CapacityShare:
-    """What a data centre can run of a service, and this VM's part.
+    """The capacity of a data centre for a service, and this VM's share.
 
-    ``limit``, ``own`` and ``total`` are requests: what may run, what this
-    VM has running and what all of its ``entries`` VMs have. ``peers_wait``
-    is the longest line of the others there, in seconds.
+    ``limit`` is the number of requests that may run at once, ``own`` the
+    number running for this VM and ``total`` for all ``entries`` entry VMs of
+    the data centre. ``peers_wait`` is the longest queue of the other entry
+    VMs, in seconds.
     """
 
     limit: float
@@ -64,16 +67,16 @@
 
     @property
     def equal_part(self) -> float:
-        """Return the requests that each entry VM could have running."""
+        """Return the limit divided equally among the entry VMs."""
         return self.limit / self.entries
 
     @property
     def capacity(self) -> float:
         """Return how many requests of this VM may run at once.
 
-        The entry VMs share the endpoints as their work does now, but none
-        has less than an equal part: an idle VM that counted with nothing
-        would take its first wait for endless.
+        The limit is divided in proportion to the running requests, but each
+        entry VM gets at least an equal share: an idle VM with a share of 0
+        would estimate an unbounded queueing time.
         """
         share = self.own / max(1.0, self.total)
         return self.limit * max(share, 1 / self.entries)
@@ -90,7 +93,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ToDataCentre:
-    """Pass the request on; the entries are in the order to try."""
+    """Forward the request; the entry VMs are in the order to try."""
 
     data_centre: str
     entries: tuple[VmIdentity, ...]
@@ -98,7 +101,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Nowhere:
-    """Nothing can take the request now."""
+    """No endpoint or data centre can accept the request now.
+
+    ``retry_after`` is in seconds; the flags give the reason.
+    """
 
     message: str
     retry_after: float = 1.0
@@ -111,7 +117,7 @@
 
 
 class AttemptOutcome(enum.Enum):
-    """How an attempt at an endpoint ended, as routing learns from it."""
+    """How an attempt at an endpoint ended."""
 
     COMPLETED = "completed"
     REFUSED = "refused"
@@ -123,7 +129,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AttemptFacts:
-    """What is learned when an attempt ends, in seconds."""
+    """The measurements of a finished attempt; times are in seconds."""
 
     outcome: AttemptOutcome
     first_token_seconds: float | None = None
--- a/burdockdrum/routing/placements.py
+++ b/burdockdrum/routing/placements.py
@@ -1,19 +1,19 @@
-"""Where prompt prefixes were sent, in bounded memory."""
+"""A bounded record of which holders were sent which prompt prefixes."""
 
 import collections
 from collections.abc import Sequence
 
-# About 200 bytes each: some 8 MB of a VM's 64 at the most.
+# About 200 bytes each: at most 8 MB.
 MAX_PREFIXES = 40_000
-# Holders remembered for one prefix, the latest first.
+# Holders kept per prefix, most recent first.
 MAX_HOLDERS = 3
 
 
-class PlacementMemory:
-    """The holders that were last sent each prefix.
+class PrefixPlacements:
+    """An LRU map of prefixes to the holders that were last sent them.
 
-    It is a hint: the holder may have dropped the prefix since, which costs
-    the time to read it again.
+    It is only a hint: a holder may have evicted the prefix since, and then
+    has to process it again.
     """
 
     def __init__(self, *, capacity: int = MAX_PREFIXES) -> None:
@@ -24,7 +24,7 @@
         ] = collections.OrderedDict()
 
     def remember(self, hashes: Sequence[int], holder: str) -> None:
-        """Note that a holder reads the prefixes of a prompt now."""
+        """Record that a prompt with these prefixes is sent to a holder."""
         for prefix in hashes:
             known = self._holders_by_prefix.get(prefix, ())
             others = tuple(name for name in known if name != holder)
@@ -35,14 +35,14 @@
             self._holders_by_prefix.popitem(last=False)
 
     def forget(self, prefix: int, holder: str) -> None:
-        """Note that a holder dropped a prefix."""
+        """Record that a holder evicted a prefix."""
         known = self._holders_by_prefix.get(prefix, ())
         if holder in known:
             left = tuple(name for name in known if name != holder)
             self._holders_by_prefix[prefix] = left
 
     def depths(self, hashes: Sequence[int]) -> dict[str, int]:
-        """Return how many leading blocks each holder may have."""
+        """Return how many leading blocks each holder may have cached."""
         depths: dict[str, int] = {}
         for index, prefix in enumerate(hashes):
             holders = self._holders_by_prefix.get(prefix)
--- a/burdockdrum/routing/router.py
+++ b/burdockdrum/routing/router.py
@@ -1,4 +1,4 @@
-"""Choose where a request goes."""
+"""The router: selects an endpoint or a data centre for each request."""
 
 from collections.abc import Callable
 import itertools
@@ -8,10 +8,10 @@
 from burdockdrum.endpoints import EndpointRegistry
 from burdockdrum.ports import Clock
 from burdockdrum.routing.attempts import Attempt
-from burdockdrum.routing.elsewhere import Elsewhere
 from burdockdrum.routing.elsewhere import MAX_HOPS
-from burdockdrum.routing.elsewhere import Offer
-from burdockdrum.routing.elsewhere import reserve_of
+from burdockdrum.routing.elsewhere import RemoteDataCentres
+from burdockdrum.routing.elsewhere import RemoteOption
+from burdockdrum.routing.elsewhere import reserved_slots
 from burdockdrum.routing.fleet import Fleet
 from burdockdrum.routing.fleet import Option
 from burdockdrum.routing.model import AttemptFacts
@@ -32,11 +32,11 @@
     AttemptOutcome.UNREACHABLE,
     AttemptOutcome.TIMED_OUT,
 )
-_SERVICE_WEIGHT = 0.1
+_SERVICE_SECONDS_WEIGHT = 0.1
 
 
 class Router:
-    """Choose among the endpoints here and the data centres elsewhere."""
+    """Select among the local endpoints and the other data centres."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         vms: VmDirectory,
         policy: PolicySettings | None = None,
     ) -> None:
-        """Create a router that has learned nothing."""
+        """Create a router without observations."""
         self.policy = policy or PolicySettings()
         self._clock = clock
         self._rng = rng
@@ -60,7 +60,7 @@
             region=vms.identity.region,
             policy=self.policy,
         )
-        self._elsewhere = Elsewhere(
+        self._remote = RemoteDataCentres(
             clock=clock,
             rng=rng,
             vms=vms,
@@ -69,7 +69,7 @@
         )
         self._numbers = itertools.count()
         self._listeners: list[Callable[[str], None]] = []
-        # Set by admission: seconds a request would wait for its turn here.
+        # Set by admission: estimated queueing time here in seconds.
         self.read_wait: Callable[[Demand], float] = lambda demand: 0.0
 
     def now(self) -> float:
@@ -77,38 +77,42 @@
         return self._clock.monotonic()
 
     def add_listener(self, listener: Callable[[str], None]) -> None:
-        """Call a function with the service whenever an attempt ends."""
+        """Register a function, called with the service as an attempt ends."""
         self._listeners.append(listener)
 
     def choose(self, demand: Demand) -> Choice:
-        """Say where a request should go now."""
-        options = self._fleet.weigh(demand)
+        """Return where to send a request now."""
+        options = self._fleet.evaluate(demand)
         if demand.hops:
-            return self._choose_for_other(demand, options)
+            return self._choose_for_forwarded(demand, options)
         best = self._pick(options, demand)
-        offer = self._find_better_offer(demand, best, self.read_wait(demand))
-        if offer is not None:
-            return self._elsewhere.forward(demand, offer.data_centre)
+        remote_option = self._find_better_remote_option(
+            demand, best, self.read_wait(demand)
+        )
+        if remote_option is not None:
+            return self._remote.forward(demand, remote_option.data_centre)
         if best is not None:
             return _to_endpoint(best)
-        return self._explain(demand)
+        return self._make_refusal(demand)
 
     def can_start(self, demand: Demand, *, wait: float = 0.0) -> bool:
-        """Say whether a request should start now, here or elsewhere.
+        """Return whether a request should start now, here or remotely.
 
-        :param wait: seconds until its turn, if it stays here
+        :param wait: estimated queueing time here in seconds
         """
-        options = self._fleet.weigh(demand)
-        with_room = [option for option in options if option.room >= 1]
+        options = self._fleet.evaluate(demand)
+        with_capacity = [
+            option for option in options if option.free_capacity >= 1
+        ]
         if demand.hops:
-            return self._can_take_for_other(demand, options)
-        if with_room:
+            return self._can_accept_forwarded(demand, options)
+        if with_capacity:
             return True
-        return self._find_better_offer(demand, None, wait) is not None
+        return self._find_better_remote_option(demand, None, wait) is not None
 
     def estimate(self, demand: Demand) -> Estimate | None:
-        """Return the best that a request may expect once it starts."""
-        options = self._fleet.weigh(demand)
+        """Return the best estimate for a request that starts now."""
+        options = self._fleet.evaluate(demand)
         local = min(
             (option.estimate for option in options),
             key=lambda estimate: estimate.finish,
@@ -116,33 +120,33 @@
         )
         if local is not None or demand.hops:
             return local
-        offers = self._find_offers(demand)
-        if not offers:
+        remote_options = self._find_remote_options(demand)
+        if not remote_options:
             return None
-        best = offers[0]
+        best = remote_options[0]
         return Estimate(
             first_token=best.first_token, finish=best.finish, run=best.run
         )
 
     def is_displaced(self, demand: Demand) -> bool:
-        """Say whether no endpoint of this data centre may ever run it."""
+        """Return whether this data centre has no endpoint for a request."""
         if self._vms.identity.region not in demand.regions:
             return True
         return not self._endpoints.candidates(demand.service)
 
     def note_forward_refused(self, data_centre: str) -> None:
-        """Take in that a data centre had no room for a request.
+        """Record that a data centre refused a request as overloaded.
 
-        It is offered nothing for a moment; the request itself need not
-        exclude it for good and may wait here until there is room again.
+        It gets no forwards for a short time. The request need not exclude
+        it, and may be queued here until there is free capacity again.
         """
-        self._elsewhere.note_refused(data_centre)
+        self._remote.record_refusal(data_centre)
 
     def begin(self, endpoint: Endpoint, demand: Demand) -> Attempt:
-        """Count an attempt that starts now."""
+        """Register an attempt that starts now."""
         tracker = self._fleet.track(endpoint)
         loads = self._fleet.estimate_loads([endpoint])
-        option = self._fleet.weigh_one(
+        option = self._fleet.evaluate_endpoint(
             endpoint,
             tracker,
             demand,
@@ -150,7 +154,10 @@
             loads[endpoint.endpoint_id],
         )
         typical = self._fleet.typical_speed(endpoint.service)
-        expected = option.tokens_read * typical.prefill + typical.token
+        expected = (
+            option.uncached_tokens * typical.prefill_seconds
+            + typical.decode_seconds
+        )
         attempt = Attempt(
             number=next(self._numbers),
             clock=self._clock,
@@ -158,14 +165,14 @@
             demand=demand,
             tracker=tracker,
             load=option.load,
-            tokens_read=option.tokens_read,
-            expected_first=expected,
-            on_first_token=self._learn_first_token,
-            on_finish=self._learn_finish,
+            uncached_tokens=option.uncached_tokens,
+            expected_first_token=expected,
+            on_first_token=self._record_first_token,
+            on_finish=self._record_finish,
         )
         now = self.now()
-        tracker.own.change(1, now)
-        tracker.tried_at = now
+        tracker.local_load.change(1, now)
+        tracker.last_attempt_at = now
         tracker.suspects += demand.isolated
         tracker.expect_first_token(
             attempt.number, now, option.estimate.first_token
@@ -174,7 +181,7 @@
         return attempt
 
     def share(self, service: str) -> CapacityShare:
-        """Return this VM's part of what its data centre can run."""
+        """Return this VM's share of its data centre's capacity."""
         now = self.now()
         limit = own = total = 0.0
         candidates = self._endpoints.candidates(service)
@@ -182,10 +189,10 @@
         for endpoint in candidates:
             tracker = self._fleet.track(endpoint)
             limit += tracker.current_limit(now)
-            own += tracker.own.count
+            own += tracker.local_load.count
             total += loads[endpoint.endpoint_id]
         peers = self._peers_here()
-        limit = limit or self._elsewhere.equal_part(service)
+        limit = limit or self._remote.equal_share(service)
         return CapacityShare(
             limit=limit,
             own=own,
@@ -211,12 +218,13 @@
         ]
 
     def _pick(self, options: list[Option], demand: Demand) -> Option | None:
-        """Return the best of a random sample and of the warm endpoints.
+        """Return the best option of a small random sample.
 
-        Several VMs see the same late reports. If each took the endpoint
-        that looks best, all would (Mitzenmacher, "How useful is old
-        information?", 2000); a sample of a few spreads them and is nearly
-        as good ("The power of two choices", 2001).
+        The sample is extended by the option with the longest cached prefix.
+        All VMs see the same delayed reports, so selecting the best of all
+        endpoints would send all requests to the same one (Mitzenmacher, "How
+        useful is old information?", 2000). A small sample spreads them and
+        is nearly as good ("The power of two choices", 2001).
         """
         if not options:
             return None
@@ -225,97 +233,108 @@
         now = self.now()
         typical = self._fleet.typical_speed(demand.service)
         for option in options:
-            # Only work that may be run again is risked on a trial.
+            # Only requests that may be retried are used as trial requests.
             due = option.tracker.is_due_for_trial(typical, now)
             if due and demand.repeatable:
                 return option
         sample = options
         if len(options) > self.policy.choices:
-            warm = sorted(options, key=lambda option: option.tokens_read)
+            by_cached_prefix = sorted(
+                options, key=lambda option: option.uncached_tokens
+            )
             sample = self._rng.sample(options, self.policy.choices)
-            if warm[0].tokens_read < demand.prompt_tokens:
-                sample.append(warm[0])
-        with_room = [option for option in sample if option.room >= 1]
-        if not with_room:
-            with_room = [option for option in options if option.room >= 1]
+            if by_cached_prefix[0].uncached_tokens < demand.prompt_tokens:
+                sample.append(by_cached_prefix[0])
+        with_capacity = [
+            option for option in sample if option.free_capacity >= 1
+        ]
+        if not with_capacity:
+            with_capacity = [
+                option for option in options if option.free_capacity >= 1
+            ]
         return min(
-            with_room or sample,
+            with_capacity or sample,
             key=lambda option: (
                 option.estimate.first_token + option.estimate.finish,
                 self._rng.random(),
             ),
         )
 
-    def _find_offers(self, demand: Demand) -> list[Offer]:
+    def _find_remote_options(self, demand: Demand) -> list[RemoteOption]:
         if len(demand.hops) >= MAX_HOPS:
             return []
         speed = self._fleet.typical_speed(demand.service)
-        return self._elsewhere.find_offers(demand, speed)
+        return self._remote.find_options(demand, speed)
 
-    def _find_better_offer(
+    def _find_better_remote_option(
         self, demand: Demand, best: Option | None, wait: float
-    ) -> Offer | None:
-        """Return another data centre's offer if going there pays."""
-        if best is not None and best.room >= 1:
+    ) -> RemoteOption | None:
+        """Return a data centre that would finish the request sooner."""
+        if best is not None and best.free_capacity >= 1:
             return None
-        offers = self._find_offers(demand)
-        estimate = best.estimate if best else self._estimate_here(demand)
+        remote_options = self._find_remote_options(demand)
+        estimate = best.estimate if best else self._estimate_locally(demand)
         if estimate is None:
-            # There is no endpoint at home: the request may as well wait
-            # there, in the order of its rank.
-            return next((o for o in offers if not o.refused), None)
-        here = estimate.finish + wait
+            # There is no local endpoint: the request may also be queued
+            # remotely, by its rank.
+            return next((o for o in remote_options if not o.refused), None)
+        local_finish = estimate.finish + wait
         margin = self.policy.spill_margin_seconds
-        for offer in offers:
-            if offer.room >= 1 and offer.finish + margin < here:
-                return offer
+        for remote_option in remote_options:
+            if (
+                remote_option.free_capacity >= 1
+                and remote_option.finish + margin < local_finish
+            ):
+                return remote_option
         return None
 
-    def _estimate_here(self, demand: Demand) -> Estimate | None:
-        options = self._fleet.weigh(demand)
+    def _estimate_locally(self, demand: Demand) -> Estimate | None:
+        options = self._fleet.evaluate(demand)
         if not options:
             return None
         return min(
             (option.estimate for option in options), key=lambda e: e.finish
         )
 
-    def _choose_for_other(
+    def _choose_for_forwarded(
         self, demand: Demand, options: list[Option]
     ) -> Choice:
-        """Take a request of another data centre, or refuse it at once.
+        """Accept a forwarded request, or refuse it at once.
 
-        It is never passed on: two data centres that each think that the
-        other has room would throw it back and forth.
+        It is never forwarded again: two data centres with outdated summaries
+        of each other would forward it back and forth.
         """
         if not options:
-            return self._explain(demand)
+            return self._make_refusal(demand)
         if not self.can_start(demand):
-            return Nowhere(message="no room beyond that of own callers")
+            return Nowhere(message="no free capacity for forwarded requests")
         best = self._pick(options, demand)
         assert best is not None
         return _to_endpoint(best)
 
-    def _can_take_for_other(
+    def _can_accept_forwarded(
         self, demand: Demand, options: list[Option]
     ) -> bool:
-        room = sum(max(0.0, option.room) for option in options)
+        free_capacity = sum(
+            max(0.0, option.free_capacity) for option in options
+        )
         slots = sum(option.endpoint.slots for option in options)
-        has_room = any(option.room >= 1 for option in options)
+        has_capacity = any(option.free_capacity >= 1 for option in options)
         if demand.displaced:
-            # It has no other place to run. Own callers of its rank still
-            # go before it in the line.
-            return has_room
-        reserve = reserve_of(slots, self.policy.spill_reserve)
-        return has_room and room >= 1 + reserve / 2
+            # It can't run where it came from. Local callers of the same
+            # rank are still ahead of it in the queue.
+            return has_capacity
+        reserve = reserved_slots(slots, self.policy.spill_reserve)
+        return has_capacity and free_capacity >= 1 + reserve / 2
 
-    def _explain(self, demand: Demand) -> Nowhere:
+    def _make_refusal(self, demand: Demand) -> Nowhere:
         if len(demand.hops) >= MAX_HOPS:
-            return Nowhere(message="passed on too often", loop=True)
-        if self._find_offers(demand) or demand.excluded_endpoints:
-            return Nowhere(message="no endpoint has room or answers now")
+            return Nowhere(message="too many hops", loop=True)
+        if self._find_remote_options(demand) or demand.excluded_endpoints:
+            return Nowhere(message="no endpoint has free capacity or responds")
         known = self._endpoints.candidates(demand.service)
         if known and self._vms.identity.region in demand.regions:
-            return Nowhere(message="no endpoint answers as it should now")
+            return Nowhere(message="all endpoints are unavailable")
         return Nowhere(
             message=f"no live endpoint of {demand.service!r} in the "
             "regions that the client's residency and the service allow: "
@@ -323,61 +342,64 @@
             no_endpoint=True,
         )
 
-    def _learn_first_token(self, attempt: Attempt, seconds: float) -> None:
+    def _record_first_token(self, attempt: Attempt, seconds: float) -> None:
         tracker = attempt.tracker
-        tracker.got_first_token(attempt.number)
-        tracker.limit.learn(
+        tracker.clear_first_token(attempt.number)
+        tracker.limit.adjust(
             seconds=seconds,
-            expected=attempt.expected_first,
+            expected=attempt.expected_first_token,
             load=attempt.load,
             now=self.now(),
         )
         if attempt.load < tracker.limit.value:
-            tracker.speed.learn_first_token(
+            tracker.speed.record_first_token(
                 seconds=seconds,
-                expected=attempt.expected_first,
-                tokens_read=attempt.tokens_read,
+                expected=attempt.expected_first_token,
+                uncached_tokens=attempt.uncached_tokens,
             )
             service = attempt.endpoint.service
-            tracker.compare(
+            tracker.update_outlier(
                 self._fleet.typical_slowness(service),
                 self._fleet.typical_speed(service),
                 self.now(),
             )
 
-    def _learn_finish(self, attempt: Attempt, facts: AttemptFacts) -> None:
+    def _record_finish(self, attempt: Attempt, facts: AttemptFacts) -> None:
         now = self.now()
         tracker = attempt.tracker
-        # Whoever gave up after its first token was overdue, waited in vain:
-        # without this each caller's deadline would bring a new burst.
-        in_vain = tracker.is_overdue(attempt.number, now)
-        tracker.got_first_token(attempt.number)
-        tracker.own.change(-1, now)
+        # A cancellation after the first token was overdue counts as a
+        # failure of the endpoint: otherwise it would get a new burst of
+        # requests each time that callers reach their deadlines.
+        was_overdue = tracker.is_overdue(attempt.number, now)
+        tracker.clear_first_token(attempt.number)
+        tracker.local_load.change(-1, now)
         tracker.suspects -= attempt.demand.isolated
         if facts.outcome is AttemptOutcome.COMPLETED:
-            self._learn_completion(attempt, facts)
-            tracker.health.note_success(now)
-        elif in_vain:
+            self._record_completion(attempt, facts)
+            tracker.health.record_success(now)
+        elif was_overdue:
             tracker.health.eject(now)
         elif facts.outcome in _FAILURES:
-            tracker.health.note_failure(now)
+            tracker.health.record_failure(now)
         for listener in self._listeners:
             listener(attempt.endpoint.service)
 
-    def _learn_completion(self, attempt: Attempt, facts: AttemptFacts) -> None:
+    def _record_completion(
+        self, attempt: Attempt, facts: AttemptFacts
+    ) -> None:
         tracker = attempt.tracker
         change = facts.total_seconds - tracker.service_seconds
-        tracker.service_seconds += _SERVICE_WEIGHT * change
+        tracker.service_seconds += _SERVICE_SECONDS_WEIGHT * change
         if facts.first_token_seconds is not None:
             tokens = facts.tokens or attempt.demand.max_tokens
-            tracker.speed.learn_tokens(
+            tracker.speed.record_decode(
                 seconds=facts.total_seconds - facts.first_token_seconds,
                 tokens=tokens - 1,
             )
 
     def room(self, service: str) -> float:
         """Return how many requests could start at once here."""
-        return self._fleet.room(service)
+        return self._fleet.free_capacity(service)
 
     def mean_service_seconds(self, service: str) -> float:
         """Return how long a request has run lately."""
--- a/burdockdrum/routing/services.py
+++ b/burdockdrum/routing/services.py
@@ -1,4 +1,4 @@
-"""Name the services of this package."""
+"""Registration of this package's services in the kernel."""
 
 import random
 
@@ -11,7 +11,7 @@
 
 
 def add_services(kernel: Kernel) -> None:
-    """Name the router."""
+    """Register the router."""
     kernel.add("router", _build_router)
 
 
--- a/burdockdrum/routing/speed.py
+++ b/burdockdrum/routing/speed.py
@@ -1,115 +1,128 @@
-"""How fast an endpoint is and how much it takes at once, as observed."""
+"""Models of an endpoint's speed and concurrency limit.
+
+Both are updated from the measured times of real requests.
+"""
 
 from dataclasses import dataclass
 
-# Starting points until the first answers; seconds.
+# Initial values, in seconds per token.
 DEFAULT_PREFILL_SECONDS = 0.0002
-DEFAULT_TOKEN_SECONDS = 0.02
-# A first token may wait this long for other prompts of its batch to be
-# read: an endpoint is not slow for that.
-BATCH_SECONDS = 0.4
-# An answer in less than this share of the expected time starts anew.
-RECOVERED_SHARE = 0.5
-# Times slower than typical from which an endpoint hardly gets requests.
+DEFAULT_DECODE_SECONDS = 0.02
+# Prefill of other requests in a batch may delay a first token by this much;
+# the endpoint is not slow because of it.
+BATCHING_DELAY_SECONDS = 0.4
+# A time below this fraction of the average replaces the average.
+RECOVERY_FACTOR = 0.5
+# Ratio to the typical time per token above which it hardly gets requests.
 _SLOW_FACTOR = 1.5
-_WEIGHT = 0.15
+_SPEED_WEIGHT = 0.15
 _SLOWNESS_WEIGHT = 0.3
-# Prompts shorter than this say little about the time to read a token.
+# Shorter prompts give no useful measurement of the prefill speed.
 _MIN_PREFILL_TOKENS = 256
-# The limit sinks when the first token takes this many times as long as
-# expected, and this many seconds more than that.
+# The limit is decreased when the time to first token exceeds the expected
+# time multiplied by the factor, plus the margin.
 _LATE_FACTOR = 2.0
-_LATE_SECONDS = 1.0
-_DECREASE = 0.9
-_DECREASE_EVERY_SECONDS = 1.0
+_LATE_MARGIN_SECONDS = 1.0
+_DECREASE_FACTOR = 0.9
+_DECREASE_INTERVAL_SECONDS = 1.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Speed:
-    """Seconds to read a token of a prompt and to generate one."""
+    """Seconds per token of prefill and of decode."""
 
-    prefill: float = DEFAULT_PREFILL_SECONDS
-    token: float = DEFAULT_TOKEN_SECONDS
+    prefill_seconds: float = DEFAULT_PREFILL_SECONDS
+    decode_seconds: float = DEFAULT_DECODE_SECONDS
 
 
 class SpeedModel:
     """Moving averages of an endpoint's speed."""
 
     def __init__(self, *, start: Speed) -> None:
-        """Begin with what is typical of the service."""
-        self._prefill = start.prefill
-        self._token = start.token
-        # Observed over expected time to the first token.
+        """Start with the typical speed of the service."""
+        self._prefill_seconds = start.prefill_seconds
+        self._decode_seconds = start.decode_seconds
+        # Ratio of observed to expected time to first token.
         self.slowness = 1.0
         self.samples = 0
 
     @property
     def speed(self) -> Speed:
-        """Return the averages."""
-        return Speed(prefill=self._prefill, token=self._token)
+        """Return the current averages."""
+        return Speed(
+            prefill_seconds=self._prefill_seconds,
+            decode_seconds=self._decode_seconds,
+        )
 
     def is_slower_than(self, typical: Speed) -> bool:
-        """Say whether the choice would hardly ever fall on it."""
+        """Return whether it is too slow to be selected normally."""
         return (
-            self._token > typical.token * _SLOW_FACTOR
-            or self._prefill > typical.prefill * _SLOW_FACTOR * 2
+            self._decode_seconds > typical.decode_seconds * _SLOW_FACTOR
+            or self._prefill_seconds
+            > typical.prefill_seconds * _SLOW_FACTOR * 2
         )
 
-    def learn_first_token(
-        self, *, seconds: float, expected: float, tokens_read: float
+    def record_first_token(
+        self, *, seconds: float, expected: float, uncached_tokens: float
     ) -> None:
-        """Take in the time to a first token.
+        """Record a time to first token.
 
-        :param expected: what the service's typical speed would have given
-        :param tokens_read: tokens of the prompt that were thought uncached
+        :param expected: the time at the service's typical speed
+        :param uncached_tokens: prompt tokens assumed not to be cached
         """
         self.samples += 1
-        ratio = min(20.0, seconds / (expected + BATCH_SECONDS))
+        ratio = min(20.0, seconds / (expected + BATCHING_DELAY_SECONDS))
         self.slowness += _SLOWNESS_WEIGHT * (ratio - self.slowness)
-        if tokens_read >= _MIN_PREFILL_TOKENS:
-            observed = max(0.0, seconds - self._token) / tokens_read
-            self._prefill += _WEIGHT * (observed - self._prefill)
-
-    def learn_tokens(self, *, seconds: float, tokens: int) -> None:
-        """Take in the time that tokens after the first took."""
+        if uncached_tokens >= _MIN_PREFILL_TOKENS:
+            observed = (
+                max(0.0, seconds - self._decode_seconds) / uncached_tokens
+            )
+            self._prefill_seconds += _SPEED_WEIGHT * (
+                observed - self._prefill_seconds
+            )
+
+    def record_decode(self, *, seconds: float, tokens: int) -> None:
+        """Record the time of the tokens after the first."""
         if tokens <= 0:
             return
         observed = seconds / tokens
-        if observed < self._token * RECOVERED_SHARE:
-            # It has recovered: an average would hold the past against it
-            # for many requests, which it would not get.
-            self._token = observed
+        if observed < self._decode_seconds * RECOVERY_FACTOR:
+            # It has recovered. The average would take many requests to
+            # show that, and a slow endpoint gets few.
+            self._decode_seconds = observed
         else:
-            self._token += _WEIGHT * (observed - self._token)
+            self._decode_seconds += _SPEED_WEIGHT * (
+                observed - self._decode_seconds
+            )
 
 
 class ConcurrencyLimit:
-    """How many requests an endpoint is given at once.
+    """An adaptive limit on the requests in flight at an endpoint.
 
     Additive increase and multiplicative decrease (Chiu and Jain, "Analysis
     of the increase and decrease algorithms", 1989) on the time to the first
-    token, as TCP Vegas (Brakmo et al., 1994) takes growing delay and not
-    loss for the sign of a queue. The slots that the endpoint announces are
-    the ceiling: it may have announced more than it can carry.
+    token, as TCP Vegas (Brakmo et al., 1994) uses growing delay instead
+    of loss as the signal of a queue. The announced slots are the upper
+    bound, because an endpoint may announce more than it can sustain.
     """
 
     def __init__(self, *, slots: int) -> None:
-        """Start at the ceiling."""
+        """Start at the number of announced slots."""
         self._slots = max(1, slots)
         self._decreased_at = float("-inf")
         self.value = float(self._slots)
 
-    def learn(
+    def adjust(
         self, *, seconds: float, expected: float, load: float, now: float
     ) -> None:
-        """Take in the time to a first token against what was expected.
+        """Adjust the limit to a time to first token.
 
-        :param load: the requests at the endpoint when it was sent
+        :param load: requests at the endpoint when the attempt began
         """
-        late = seconds > expected * _LATE_FACTOR + _LATE_SECONDS
+        late = seconds > expected * _LATE_FACTOR + _LATE_MARGIN_SECONDS
         if late and load <= self.value:
-            if now - self._decreased_at > _DECREASE_EVERY_SECONDS:
+            if now - self._decreased_at > _DECREASE_INTERVAL_SECONDS:
                 self._decreased_at = now
-                self.value = max(1.0, self.value * _DECREASE)
+                self.value = max(1.0, self.value * _DECREASE_FACTOR)
         elif not late and load >= self.value * 0.7:
             self.value = min(self._slots, self.value + 1 / self.value)
--- a/burdockdrum/routing/tracking.py
+++ b/burdockdrum/routing/tracking.py
@@ -1,28 +1,28 @@
-"""What one VM has learned of one incarnation of an endpoint."""
+"""The state that a VM keeps for one incarnation of an endpoint."""
 
 import math
 import random
 
 from burdockdrum.endpoints import Endpoint
 from burdockdrum.routing.health import EndpointHealth
-from burdockdrum.routing.load import OwnLoad
+from burdockdrum.routing.load import LocalLoad
 from burdockdrum.routing.speed import ConcurrencyLimit
 from burdockdrum.routing.speed import Speed
 from burdockdrum.routing.speed import SpeedModel
 
-# A first token is overdue after this many times its expected seconds, and
-# this many seconds besides.
+# A first token is overdue after its expected time multiplied by the factor,
+# plus the margin.
 OVERDUE_FACTOR = 4.0
-OVERDUE_SECONDS = 1.5
-# Times slower than the service's others that makes an outlier.
+OVERDUE_MARGIN_SECONDS = 1.5
+# Ratio to the typical slowness of the service that makes an outlier.
 OUTLIER_SLOWNESS = 3.0
-# An endpoint that is held back gets one request in so many seconds.
-TRIAL_SECONDS = 4.0
+# Interval between trial requests to an endpoint that is otherwise avoided.
+TRIAL_INTERVAL_SECONDS = 4.0
 _MIN_SAMPLES = 3
 
 
 class EndpointTracker:
-    """Own load, health, speed and limit of an endpoint."""
+    """Local load, health, speed and concurrency limit of an endpoint."""
 
     def __init__(
         self,
@@ -32,38 +32,38 @@
         slow_start_seconds: float,
         start_speed: Speed,
     ) -> None:
-        """Create the tracker of an endpoint that was just heard of."""
+        """Create the tracker of a newly announced endpoint."""
         self.incarnation = endpoint.incarnation
         self.name = f"{endpoint.endpoint_id}@{endpoint.incarnation}"
-        self.own = OwnLoad()
+        self.local_load = LocalLoad()
         self.suspects = 0
         self.is_outlier = False
-        self.tried_at = -math.inf
+        self.last_attempt_at = -math.inf
         self.health = EndpointHealth(
             rng=rng, slow_start_seconds=slow_start_seconds
         )
         self.speed = SpeedModel(start=start_speed)
         self.limit = ConcurrencyLimit(slots=endpoint.slots)
         self.service_seconds = 1.0
-        # When the first token of each attempt that waits for it is overdue.
+        # Monotonic time at which each pending first token is overdue.
         self._overdue_at_by_attempt: dict[int, float] = {}
 
     def estimate_others(self, endpoint: Endpoint) -> int:
-        """Return other VMs' requests there, as of the last report."""
+        """Return the requests of other VMs as of the last report."""
         reported = endpoint.running + endpoint.waiting
-        return self.own.estimate_others(reported, endpoint.reported_at)
+        return self.local_load.estimate_others(reported, endpoint.reported_at)
 
     def current_limit(self, now: float) -> float:
-        """Return how many requests it may have in flight now."""
-        if self.health.is_on_trial(now) or self.is_outlier:
+        """Return the current limit on requests in flight."""
+        if self.health.is_half_open(now) or self.is_outlier:
             return 1.0
-        share = self.health.share(now)
+        share = self.health.capacity_fraction(now)
         return max(1.0, self.limit.value * share) if share else 0.0
 
-    def compare(
+    def update_outlier(
         self, typical_slowness: float, typical: Speed, now: float
     ) -> None:
-        """Judge anew whether it is far slower than its service's others."""
+        """Update whether the endpoint is much slower than is typical."""
         speed = self.speed
         limit = OUTLIER_SLOWNESS * max(1.0, typical_slowness)
         was_outlier = self.is_outlier
@@ -71,49 +71,48 @@
             speed.samples >= _MIN_SAMPLES and speed.slowness > limit
         )
         if was_outlier and not self.is_outlier:
-            # What was learned of it while it was slow would keep all work
-            # away from it, and nothing new would be learned.
+            # Its speed averages are out of date and would keep requests,
+            # and so new measurements, away from it.
             self.speed = SpeedModel(start=typical)
-            self.health.start_slowly(now)
+            self.health.begin_slow_start(now)
 
     def is_due_for_trial(self, typical: Speed, now: float) -> bool:
-        """Say whether it should get one request although others are better.
+        """Return whether to send a trial request to a slow endpoint.
 
-        Without it an endpoint that was slow once would never be chosen
-        again, and its recovery never noticed.
+        Without trial requests an endpoint that was slow once would never be
+        selected again, and its recovery would not be detected.
         """
-        held_back = (
+        avoided = (
             self.is_outlier
-            or self.health.is_on_trial(now)
+            or self.health.is_half_open(now)
             or self.speed.is_slower_than(typical)
         )
         return (
-            held_back
-            and not self.own.count
-            and now - self.tried_at >= TRIAL_SECONDS
+            avoided
+            and not self.local_load.count
+            and now - self.last_attempt_at >= TRIAL_INTERVAL_SECONDS
         )
 
     def expect_first_token(
         self, attempt: int, now: float, expected: float
     ) -> None:
-        """Note when an attempt's first token will be overdue."""
-        overdue_at = now + expected * OVERDUE_FACTOR + OVERDUE_SECONDS
+        """Set when the first token of an attempt will be overdue."""
+        overdue_at = now + expected * OVERDUE_FACTOR + OVERDUE_MARGIN_SECONDS
         self._overdue_at_by_attempt[attempt] = overdue_at
 
-    def got_first_token(self, attempt: int) -> None:
-        """Expect no more of an attempt."""
+    def clear_first_token(self, attempt: int) -> None:
+        """Stop expecting the first token of an attempt."""
         self._overdue_at_by_attempt.pop(attempt, None)
 
     def is_overdue(self, attempt: int, now: float) -> bool:
-        """Say whether an attempt's first token should have come."""
+        """Return whether the first token of an attempt is overdue."""
         return self._overdue_at_by_attempt.get(attempt, math.inf) < now
 
-    def is_silent(self, now: float) -> bool:
-        """Say whether the oldest first token is overdue.
+    def is_unresponsive(self, now: float) -> bool:
+        """Return whether the oldest pending first token is overdue.
 
-        An endpoint that takes requests and answers none looks idle in its
-        own reports; without this it would draw all work until timeouts
-        tell, which are as long as the deadlines.
+        An endpoint that accepts requests but does not answer looks idle in
+        its reports. It would attract all requests until their deadlines.
         """
         oldest = next(iter(self._overdue_at_by_attempt.values()), None)
         return oldest is not None and oldest < now
--- a/tests/routing/__init__.py
+++ b/tests/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the choice of endpoints and data centres."""
+"""Tests of burdockdrum.routing."""
--- a/tests/routing/support.py
+++ b/tests/routing/support.py
@@ -1,4 +1,4 @@
-"""A data centre in memory for the tests of routing."""
+"""An emulated data centre for the tests of routing."""
 
 import asyncio
 import collections
@@ -19,7 +19,7 @@
 
 
 def make_user(runners: int, rate: float, report_lag: float) -> User:
-    """Return a user with one region and short requests only."""
+    """Return a workload with one region and short requests only."""
     classes = tuple(c for c in ZOLDSAV.classes if c.name == "restriction")
     engine = dataclasses.replace(
         ZOLDSAV.engines["planner"], report_lag=report_lag
@@ -35,7 +35,7 @@
 
 
 class Trial:
-    """One run, with the loads of each engine sampled."""
+    """One run of a scenario, which samples the load of each engine."""
 
     def __init__(
         self,
@@ -109,7 +109,10 @@
             )
 
     def count_begun(self, endpoint_id: str, begin: int, end: int) -> int:
-        """Return the attempts at an endpoint between two times."""
+        """Return the number of attempts at an endpoint between two times.
+
+        The times are in seconds, in multiples of ten.
+        """
         return sum(
             count
             for (name, tens), count in self.begun.items()
--- a/tests/routing/test_half_dead.py
+++ b/tests/routing/test_half_dead.py
@@ -1,4 +1,4 @@
-"""Endpoints that are there but do not serve as they should."""
+"""Tests of endpoints that are reachable but do not serve requests well."""
 
 import unittest
 
@@ -8,12 +8,12 @@
 from tests.routing.support import make_user
 from tests.routing.support import Trial
 
-STRUCK = "dunantul-planner-0"
-GOOD = "dunantul-planner-1"
+FAULTY = "dunantul-planner-0"
+HEALTHY = "dunantul-planner-1"
 
 
-def strike(kind: str, back: str = "none") -> Trial:
-    """Strike one of three engines from 40 s to 90 s."""
+def run_with_fault(kind: str, back: str = "none") -> Trial:
+    """Run with a fault in one of three engines from 40 s to 90 s."""
     return Trial(
         user=make_user(runners=3, rate=3.0, report_lag=1.0),
         policy=product(),
@@ -23,55 +23,52 @@
 
 
 class HalfDeadTest(unittest.TestCase):
-    """Less work while it is struck, a trickle, and work again after."""
-
-    def check(self, trial: Trial, *, trickle: int, lost: int) -> None:
-        struck = trial.count_begun(STRUCK, 50, 90)
-        good = trial.count_begun(GOOD, 50, 90)
-        self.assertLess(struck, good / 3, (struck, good))
-        self.assertGreaterEqual(struck, trickle)
-        after = trial.count_begun(STRUCK, 110, 150)
-        self.assertGreater(after, trial.count_begun(GOOD, 110, 150) / 3)
-        not_whole = [
+    """A faulty endpoint gets few requests, and its share after recovery."""
+
+    def check(self, trial: Trial, *, min_attempts: int, max_lost: int) -> None:
+        faulty = trial.count_begun(FAULTY, 50, 90)
+        healthy = trial.count_begun(HEALTHY, 50, 90)
+        self.assertLess(faulty, healthy / 3, (faulty, healthy))
+        self.assertGreaterEqual(faulty, min_attempts)
+        after = trial.count_begun(FAULTY, 110, 150)
+        self.assertGreater(after, trial.count_begun(HEALTHY, 110, 150) / 3)
+        incomplete = [
             outcome
             for outcome in trial.outcomes
             if outcome.ending is not Ending.WHOLE
         ]
-        self.assertLessEqual(len(not_whole), lost)
+        self.assertLessEqual(len(incomplete), max_lost)
 
     def test_endpoint_that_fails_fast_does_not_look_idle(self):
-        """It answers each request with an error at once.
+        """An endpoint that fails at once has the least load.
 
-        So it has the least load of all and draws the next one, unless its
-        failures count. Callers see nothing: the work goes elsewhere.
+        It would attract all requests if its failures were not counted.
         """
-        self.check(strike("errors"), trickle=2, lost=0)
+        self.check(run_with_fault("errors"), min_attempts=2, max_lost=0)
 
-    def test_endpoint_that_is_ten_times_slower(self):
-        """Its first tokens come late, long before its answers end.
+    def test_slow_endpoint_gets_few_requests(self):
+        """A slow endpoint gets one trial request at a time.
 
-        One request at a time tries it, which takes up to its deadline.
+        Each trial request may take up to its deadline.
         """
-        self.check(strike("slow"), trickle=1, lost=2)
+        self.check(run_with_fault("slow"), min_attempts=1, max_lost=2)
 
-    def test_endpoint_that_takes_requests_and_answers_nothing(self):
-        """It reports itself idle and holds what it gets.
+    def test_unresponsive_endpoint_that_reports_no_load_gets_no_requests(self):
+        """The endpoint accepts requests, never answers and looks idle.
 
-        The few requests that it got before their first token was overdue
-        are lost at their deadline; nothing else is sent to it meanwhile.
+        Only requests sent before the first token was overdue may be lost.
         """
-        self.check(strike("silent"), trickle=0, lost=8)
+        self.check(run_with_fault("silent"), min_attempts=0, max_lost=8)
 
-    def test_endpoint_that_hangs(self):
-        self.check(strike("hang"), trickle=0, lost=8)
+    def test_hanging_endpoint_gets_no_requests(self):
+        self.check(run_with_fault("hang"), min_attempts=0, max_lost=8)
 
-    def test_endpoint_that_returns_with_an_empty_cache_starts_slowly(self):
-        """It is lost and comes back as another incarnation.
+    def test_restarted_endpoint_with_an_empty_cache_gets_a_slow_start(self):
+        """A new incarnation is idle, but its cache is empty.
 
-        It is idle then and its cache empty: it gets its part, and not a
-        rush of all that the others have.
+        It must not get a burst of requests because of its low load.
         """
-        trial = strike("lose", back="return")
-        self.check(trial, trickle=0, lost=0)
-        rush = trial.count_begun(STRUCK, 90, 100)
-        self.assertLess(rush, trial.count_begun(GOOD, 90, 100) * 2 + 4)
+        trial = run_with_fault("lose", back="return")
+        self.check(trial, min_attempts=0, max_lost=0)
+        attempts = trial.count_begun(FAULTY, 90, 100)
+        self.assertLess(attempts, trial.count_begun(HEALTHY, 90, 100) * 2 + 4)
--- a/tests/routing/test_herd.py
+++ b/tests/routing/test_herd.py
@@ -1,4 +1,4 @@
-"""Late reports that all entry VMs see alike."""
+"""Tests of routing by delayed reports that all entry VMs share."""
 
 import statistics
 import unittest
@@ -11,7 +11,7 @@
 
 
 def measure_spread(policy: Policy) -> float:
-    """Return the mean gap between the busiest and the idlest engine."""
+    """Return the mean difference between the highest and lowest load."""
     trial = Trial(
         user=make_user(runners=8, rate=16.0, report_lag=2.0),
         policy=policy,
@@ -23,13 +23,12 @@
 
 
 class HerdTest(unittest.TestCase):
-    """Six entry VMs, eight engines, reports two seconds late."""
+    """Six entry VMs, eight engines, and a report delay of two seconds."""
 
-    def test_entries_do_not_all_choose_the_engine_that_looks_idle(self):
-        """A report shows one engine idle; it stays so for two seconds.
+    def test_entry_vms_do_not_all_select_the_same_engine(self):
+        """An outdated report must not send all requests to one engine.
 
-        Six VMs that trust it send all that comes meanwhile there: the
-        engine is flooded while the others run empty, and then the next.
+        This is the herd effect of selecting the least reported load.
         """
         herd = measure_spread(Policy(name="", router=LeastLoadRouter))
         spread = measure_spread(product())
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -1,4 +1,4 @@
-"""The choice among many endpoints."""
+"""Tests of the selection among many endpoints."""
 
 import random
 import types
@@ -59,28 +59,28 @@
 
 
 class RouterTest(unittest.TestCase):
-    """A hundred endpoints of which only some are weighed."""
+    """Selection when only a sample of the endpoints is evaluated."""
 
-    def test_prompt_goes_where_its_prefix_was_sent(self):
+    def test_prompt_is_routed_to_the_endpoint_with_its_cached_prefix(self):
         async def main():
             router = make_router()
-            homes = {}
+            chosen_by_prefix = {}
             for prefix in range(20):
                 chosen = router.choose(make_demand(prefix)).endpoint
-                homes[prefix] = chosen.endpoint_id
+                chosen_by_prefix[prefix] = chosen.endpoint_id
                 attempt = router.begin(chosen, make_demand(prefix))
                 attempt.note_first_token()
                 attempt.finish(AttemptOutcome.COMPLETED, tokens=100)
             again = {
                 prefix: router.choose(make_demand(prefix)).endpoint.endpoint_id
-                for prefix in homes
+                for prefix in chosen_by_prefix
             }
-            self.assertEqual(homes, again)
-            self.assertGreater(len(set(homes.values())), 10)
+            self.assertEqual(chosen_by_prefix, again)
+            self.assertGreater(len(set(chosen_by_prefix.values())), 10)
 
         run_virtual(main())
 
-    def test_adapter_that_one_endpoint_has_is_found(self):
+    def test_only_endpoint_with_the_adapter_is_selected(self):
         async def main():
             router = make_router(
                 adapters_of=lambda number: ["verge"] if number == 77 else []
@@ -90,7 +90,7 @@
 
         run_virtual(main())
 
-    def test_endpoints_that_only_read_prompts_are_not_chosen(self):
+    def test_prefill_only_endpoints_are_not_selected(self):
         async def main():
             router = make_router(role="prefill")
             self.assertIsInstance(router.choose(make_demand()), Nowhere)
--- a/tests/routing/test_spill.py
+++ b/tests/routing/test_spill.py
@@ -1,4 +1,4 @@
-"""Requests between data centres: when, where to, and never in a circle."""
+"""Tests of forwarding between data centres, including loop prevention."""
 
 import asyncio
 import random
@@ -52,8 +52,8 @@
     )
 
 
-class Here:
-    """A router in the north with one endpoint of some slots, or none."""
+class LocalDataCentre:
+    """A router in region "north" with one endpoint, or none if 0 slots."""
 
     def __init__(self, *, slots: int, others: list[VmView]) -> None:
         clock = VirtualClock()
@@ -109,35 +109,35 @@
 
 def choose(*, slots: int, load: int, others, **demand):
     async def main():
-        here = Here(slots=slots, others=others)
-        here.fill(load)
-        here.router.read_wait = lambda demand: 3.0
-        return here.router.choose(make_demand(**demand))
+        local = LocalDataCentre(slots=slots, others=others)
+        local.fill(load)
+        local.router.read_wait = lambda demand: 3.0
+        return local.router.choose(make_demand(**demand))
 
     return run_virtual(main())
 
 
 class SpillTest(unittest.TestCase):
-    """What the sender decides."""
+    """Decisions of the forwarding data centre."""
 
-    def test_request_stays_while_there_is_room(self):
+    def test_request_runs_locally_while_there_is_free_capacity(self):
         choice = choose(slots=4, load=2, others=[make_view("south", 16)])
         self.assertIsInstance(choice, ToEndpoint)
 
-    def test_request_goes_where_there_is_room_when_it_pays(self):
+    def test_request_is_forwarded_to_free_capacity_if_that_is_faster(self):
         others = [make_view("south", 0), make_view("west", 9)]
         choice = choose(slots=4, load=4, others=others)
         self.assertIsInstance(choice, ToDataCentre)
         self.assertEqual("west", choice.data_centre)
 
-    def test_room_that_is_kept_for_own_callers_is_not_offered(self):
+    def test_capacity_reserved_for_local_callers_is_not_used(self):
         choice = choose(slots=4, load=4, others=[make_view("south", 2)])
         self.assertIsInstance(choice, ToEndpoint)
 
-    def test_region_that_residency_forbids_is_never_chosen(self):
-        """All permitted regions are full or lost; a forbidden one has room.
+    def test_region_outside_the_residency_is_never_selected(self):
+        """Only a region outside the residency has free capacity.
 
-        The request is refused rather than run there.
+        The request must be refused rather than run there.
         """
         others = [make_view("south", 16)]
         choice = choose(
@@ -146,30 +146,30 @@
         self.assertIsInstance(choice, Nowhere)
         self.assertTrue(choice.no_endpoint)
 
-    def test_one_summary_does_not_draw_all_requests(self):
-        """Room for six is told, and not told anew while requests come.
+    def test_one_summary_does_not_attract_all_requests(self):
+        """Forwards since a summary count against its free capacity.
 
-        What was sent there since counts against it.
+        Otherwise one summary would attract more requests than it has slots.
         """
 
         async def main():
-            here = Here(slots=1, others=[make_view("south", 6)])
-            here.fill(1)
-            here.router.read_wait = lambda demand: 3.0
-            choices = [here.router.choose(make_demand()) for _ in range(20)]
+            local = LocalDataCentre(slots=1, others=[make_view("south", 6)])
+            local.fill(1)
+            local.router.read_wait = lambda demand: 3.0
+            choices = [local.router.choose(make_demand()) for _ in range(20)]
             return sum(isinstance(c, ToDataCentre) for c in choices)
 
         self.assertLessEqual(run_virtual(main()), 5)
 
 
 class ReceiverTest(unittest.TestCase):
-    """What the receiver decides about a request that was passed on."""
+    """Decisions of the data centre that receives a forwarded request."""
 
     def test_request_is_never_passed_on_by_its_receiver(self):
-        """Two data centres are full, and each thinks the other has room.
+        """A receiver runs or refuses a request, but never forwards it.
 
-        The receiver serves or refuses. Were it to pass the request on, it
-        would go back and forth until its deadline.
+        Otherwise two overloaded data centres with outdated summaries would
+        forward it back and forth until its deadline.
         """
         others = [make_view("south", 16), make_view("west", 16)]
         for load in (4, 9):
@@ -179,7 +179,7 @@
         choice = choose(slots=0, load=0, others=others, hops=("south",))
         self.assertIsInstance(choice, Nowhere)
 
-    def test_request_out_of_bounds_is_refused_by_the_receiver(self):
+    def test_receiver_outside_the_residency_refuses(self):
         choice = choose(
             slots=4,
             load=0,
@@ -189,7 +189,7 @@
         )
         self.assertIsInstance(choice, Nowhere)
 
-    def test_receiver_keeps_room_for_its_own_callers(self):
+    def test_receiver_reserves_capacity_for_local_callers(self):
         free = choose(slots=8, load=2, others=[], hops=("south",))
         self.assertIsInstance(free, ToEndpoint)
         tight = choose(slots=8, load=7, others=[], hops=("south",))
@@ -199,18 +199,18 @@
         )
         self.assertIsInstance(displaced, ToEndpoint)
 
-    def test_suspect_runs_where_least_else_runs_and_alone(self):
+    def test_suspect_runs_alone(self):
         async def main():
-            here = Here(slots=8, others=[])
+            local = LocalDataCentre(slots=8, others=[])
             suspect = make_demand(isolated=True)
-            choice = here.router.choose(suspect)
-            attempt = here.router.begin(choice.endpoint, suspect)
-            self.assertIsInstance(here.router.choose(make_demand()), Nowhere)
+            choice = local.router.choose(suspect)
+            attempt = local.router.begin(choice.endpoint, suspect)
+            self.assertIsInstance(local.router.choose(make_demand()), Nowhere)
             await asyncio.sleep(0.1)
             attempt.note_first_token()
 
             attempt.finish(AttemptOutcome.COMPLETED)
-            choice = here.router.choose(make_demand())
+            choice = local.router.choose(make_demand())
             self.assertIsInstance(choice, ToEndpoint)
 
         run_virtual(main())
