--- a/burdockdrum/endpoints/__init__.py
+++ b/burdockdrum/endpoints/__init__.py
@@ -1,4 +1,8 @@
-"""The endpoints that announced themselves to this data centre."""
+"""The registry of the endpoints of this data centre.
+
+Endpoints announce themselves to an entry VM and renew a lease with each load
+report. Entry VMs exchange copies of what they know.
+"""
 
 from burdockdrum.endpoints.announcements import Announcement
 from burdockdrum.endpoints.announcements import CacheEvent
@@ -10,8 +14,8 @@
 from burdockdrum.endpoints.registry import COPY_LEASE_SECONDS
 from burdockdrum.endpoints.registry import EndpointRegistry
 from burdockdrum.endpoints.registry import LEASE_SECONDS
-from burdockdrum.endpoints.registry import MANY_ENDPOINTS
 from burdockdrum.endpoints.registry import REPORT_SECONDS
+from burdockdrum.endpoints.registry import SLOW_REPORT_MIN_ENDPOINTS
 from burdockdrum.endpoints.services import add_services
 
 __all__ = [
@@ -23,7 +27,7 @@
     "EndpointRegistry",
     "LEASE_SECONDS",
     "LeaseGrant",
-    "MANY_ENDPOINTS",
+    "SLOW_REPORT_MIN_ENDPOINTS",
     "PrefixCache",
     "PREFIXES_AN_ENDPOINT",
     "Report",
--- a/burdockdrum/endpoints/announcements.py
+++ b/burdockdrum/endpoints/announcements.py
@@ -1,4 +1,4 @@
-"""What an endpoint tells the system, as JSON over HTTP."""
+"""The messages between endpoints and entry VMs, sent as JSON over HTTP."""
 
 from typing import Literal
 
@@ -8,13 +8,13 @@
 class Announcement(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """An endpoint that offers itself to one entry VM of its data centre.
+    """Registers an endpoint with one entry VM of its data centre.
 
-    ``incarnation`` is larger for each start at the same address. ``slots``
-    is how many requests it runs at once. ``role`` splits engines that only
-    read prompts from those that only generate. ``leaving`` is for an endpoint
-    that has announced that it leaves: an entry VM which was restarted since
-    would otherwise take it for one that offers itself.
+    ``incarnation`` increases with each start at the same address. ``slots``
+    is the number of requests that the endpoint runs at once. ``role`` tells
+    whether it does prefill, decode or both. ``leaving`` is true for an
+    endpoint that is draining; an entry VM that has restarted since the
+    endpoint began to drain would otherwise send it new requests.
     """
 
     endpoint_id: str
@@ -32,7 +32,7 @@
 class CacheEvent(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """A prompt prefix that an engine stored or dropped, by its hash."""
+    """A prompt prefix, by its hash, that an engine has cached or evicted."""
 
     prefix: int
     stored: bool
@@ -41,14 +41,14 @@
 class Report(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """An endpoint's load; a report renews its lease.
-
-    ``sequence`` counts reports of one incarnation, so that gaps show and a
-    late report changes nothing. ``age_seconds`` is how old the figures were
-    when they were sent. ``cache_sequence`` counts the engine's cache events
-    up to the last one of this report; with ``cache_complete`` the events
-    name all that the cache holds. ``leaving`` repeats that the endpoint
-    wants no new work, for an entry VM that missed it.
+    """Reports an endpoint's load and renews its lease.
+
+    ``sequence`` numbers the reports of one incarnation; a report that
+    arrives out of order changes no figures. ``age_seconds`` is the age of
+    the figures when they were sent. ``cache_sequence`` is the number of the
+    last cache event in this report; with ``cache_complete`` the events list
+    the whole content of the cache. ``leaving`` repeats that the endpoint is
+    draining, for an entry VM that missed it.
     """
 
     incarnation: int
@@ -69,10 +69,11 @@
 class LeaseGrant(msgspec.Struct, frozen=True, kw_only=True):
     """The answer to an announcement or a report.
 
-    ``known`` is false when the endpoint has to announce itself again;
-    ``resync`` asks for the whole cache content in the next report.
-    ``entries`` are the entry VMs of the data centre, in the answer to an
-    announcement: the endpoint goes on to another one when its own fails.
+    ``known`` is false if the endpoint must announce itself again;
+    ``resync`` requests the whole cache content in the next report.
+    ``entries`` lists the entry VMs of the data centre in the answer to an
+    announcement, so that the endpoint can switch to another one if its
+    entry VM fails.
     """
 
     lease_seconds: float
--- a/burdockdrum/endpoints/damping.py
+++ b/burdockdrum/endpoints/damping.py
@@ -1,49 +1,53 @@
-"""Hold new work back from endpoints that return again and again."""
+"""Flap damping: suppression of endpoints that restart repeatedly."""
 
 import collections
 
-# So many returns within the window are usual: a restart, and one more.
-FREE_RETURNS = 2
+# Returns within the window that cause no suppression, such as a restart.
+MAX_UNDAMPED_RETURNS = 2
 WINDOW_SECONDS = 120.0
-FIRST_HOLD_SECONDS = 4.0
-MAX_HOLD_SECONDS = 60.0
+MIN_SUPPRESSION_SECONDS = 4.0
+MAX_SUPPRESSION_SECONDS = 60.0
 MAX_URLS = 4096
 
 
-class Damping:
-    """The returns of endpoints by address, and the holds that follow.
+class FlapDamping:
+    """Suppresses endpoints by address if they return too often.
 
-    Without it an endpoint that crashes a second after each start takes
-    requests each time and loses them. The hold doubles with each return.
+    An endpoint that crashes shortly after each start would lose its requests
+    each time. The duration of the suppression doubles with each return.
     """
 
     def __init__(self) -> None:
-        """Create an empty record."""
+        """Create damping without recorded returns."""
         self._returns_by_url: collections.OrderedDict[
             str, collections.deque[float]
         ] = collections.OrderedDict()
-        self._held_until_by_url: dict[str, float] = {}
+        self._suppressed_until_by_url: dict[str, float] = {}
 
-    def note_return(self, url: str, now: float) -> float:
-        """Note that an endpoint is back; return the seconds of hold."""
+    def record_return(self, url: str, now: float) -> float:
+        """Record the return of an endpoint.
+
+        :returns: the duration of its suppression in seconds, or 0
+        """
         returns = self._returns_by_url.setdefault(
             url, collections.deque(maxlen=16)
         )
         self._returns_by_url.move_to_end(url)
         returns.append(now)
         recent = sum(1 for at in returns if now - at <= WINDOW_SECONDS)
-        excess = recent - FREE_RETURNS
+        excess = recent - MAX_UNDAMPED_RETURNS
         if len(self._returns_by_url) > MAX_URLS:
             oldest, _ = self._returns_by_url.popitem(last=False)
-            self._held_until_by_url.pop(oldest, None)
+            self._suppressed_until_by_url.pop(oldest, None)
         if excess <= 0:
             return 0.0
-        hold: float = min(
-            MAX_HOLD_SECONDS, FIRST_HOLD_SECONDS * 2 ** (excess - 1)
+        seconds: float = min(
+            MAX_SUPPRESSION_SECONDS,
+            MIN_SUPPRESSION_SECONDS * 2 ** (excess - 1),
         )
-        self._held_until_by_url[url] = now + hold
-        return hold
+        self._suppressed_until_by_url[url] = now + seconds
+        return seconds
 
-    def is_held(self, url: str, now: float) -> bool:
-        """Say whether an endpoint gets no new work yet."""
-        return self._held_until_by_url.get(url, float("-inf")) > now
+    def is_suppressed(self, url: str, now: float) -> bool:
+        """Return whether an endpoint is suppressed."""
+        return self._suppressed_until_by_url.get(url, float("-inf")) > now
--- a/burdockdrum/endpoints/model.py
+++ b/burdockdrum/endpoints/model.py
@@ -1,4 +1,4 @@
-"""An endpoint as this VM knows it."""
+"""The data of a registered endpoint."""
 
 from dataclasses import dataclass
 from typing import Literal
@@ -8,10 +8,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Endpoint:
-    """What this VM knows of an endpoint.
+    """A registered endpoint and its last report.
 
     ``reported_at``, ``lease_until`` and ``known_since`` are on this VM's
-    monotonic clock; ``sequence`` is the endpoint's own count of reports.
+    monotonic clock; ``sequence`` is the number of its last report.
     """
 
     endpoint_id: str
--- a/burdockdrum/endpoints/registry.py
+++ b/burdockdrum/endpoints/registry.py
@@ -1,10 +1,8 @@
-"""Which endpoints there are and what they last reported.
+"""The registry of endpoints and of their last reports.
 
-An endpoint talks to one entry VM, its reporter, which passes it on. So a VM
-holds copies: its own of endpoints that talk to it, and those of other VMs.
-For each endpoint the copy with the highest incarnation, then the highest
-report sequence counts; an endpoint that moves to another reporter is
-followed without a break.
+An endpoint reports to one entry VM, its reporter, which publishes a copy to
+the others. For each endpoint the copy with the highest incarnation and report
+sequence is used, so an endpoint can switch to another reporter at any time.
 """
 
 import collections
@@ -16,26 +14,26 @@
 from burdockdrum.endpoints.announcements import LeaseGrant
 from burdockdrum.endpoints.announcements import Report
 from burdockdrum.endpoints.cache import PrefixCache
-from burdockdrum.endpoints.damping import Damping
+from burdockdrum.endpoints.damping import FlapDamping
 from burdockdrum.endpoints.model import Endpoint
 from burdockdrum.ports import Clock
 from burdockdrum.timeline import Timeline
 
 LEASE_SECONDS = 3.0
 REPORT_SECONDS = 0.5
-# From so many endpoints on they report less often: each report is a request
-# to an entry VM, and with many endpoints one stale figure matters less.
-MANY_ENDPOINTS = 40
-REPORT_SECONDS_OF_MANY = 1.0
-# How long the copy of another VM counts once that VM is silent: the time
-# in which a live endpoint has found another reporter.
+# From this number of endpoints on, they report less often, to limit the
+# requests to entry VMs; one stale report matters less among many endpoints.
+SLOW_REPORT_MIN_ENDPOINTS = 40
+SLOW_REPORT_SECONDS = 1.0
+# Lease of the copy of an unreachable VM. It must be long enough for a live
+# endpoint to switch to another reporter.
 COPY_LEASE_SECONDS = 6.0
-OWN = ""
-MAX_ENDED = 4096
+LOCAL = ""
+MAX_REMEMBERED_INCARNATIONS = 4096
 
 
 class EndpointRegistry:
-    """The endpoints of this data centre by id."""
+    """The endpoints of this data centre, by id."""
 
     def __init__(self, *, clock: Clock, timeline: Timeline) -> None:
         """Create an empty registry."""
@@ -46,25 +44,25 @@
         self._copies_by_id: dict[str, dict[str, Endpoint]] = {}
         self._id_by_url: dict[str, str] = {}
         self._caches_by_id: dict[str, PrefixCache] = {}
-        self._damping = Damping()
+        self._damping = FlapDamping()
         self._listeners: list[Callable[[], None]] = []
-        # The newest incarnation by address, and the incarnations that left:
-        # late messages of an old one must not bring it back.
+        # The newest incarnation by address, and the drained incarnation by
+        # id: delayed messages must not restore an old incarnation.
         self._newest_by_url: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
-        self._left_by_id: collections.OrderedDict[str, int] = (
+        self._drained_by_id: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call a function when endpoints appear, leave or vanish here."""
+        """Register a function to call as endpoints appear, drain or vanish."""
         self._listeners.append(listener)
 
     def announce(self, announcement: Announcement) -> LeaseGrant:
-        """Take in an endpoint that offers itself.
+        """Register an endpoint.
 
-        An older incarnation than the one known is told that it is unknown.
+        An incarnation older than the known one is not registered.
         """
         if self._is_outdated(
             announcement.endpoint_id,
@@ -74,7 +72,11 @@
             return self._grant(known=False)
         now = self._clock.monotonic()
         known = self.endpoints_by_id.get(announcement.endpoint_id)
-        same = known if _is_same(known, announcement.incarnation) else None
+        same = (
+            known
+            if _has_incarnation(known, announcement.incarnation)
+            else None
+        )
         endpoint = Endpoint(
             endpoint_id=announcement.endpoint_id,
             incarnation=announcement.incarnation,
@@ -92,26 +94,26 @@
             reported_at=now,
             lease_until=now + LEASE_SECONDS,
         )
-        self.take_copy(OWN, endpoint)
+        self.take_copy(LOCAL, endpoint)
         if announcement.leaving:
             self.leave(announcement.endpoint_id, announcement.incarnation)
         self._timeline.record(
             "endpoint.announced", endpoint_id=announcement.endpoint_id
         )
-        self._tell()
+        self._notify_listeners()
         return self._grant(known=True, entries=self.entries())
 
     def report(self, endpoint_id: str, report: Report) -> LeaseGrant:
-        """Renew an endpoint's lease and take its figures."""
+        """Renew an endpoint's lease and update its load."""
         known = self.endpoints_by_id.get(endpoint_id)
         if known is None or known.incarnation != report.incarnation:
             return self._grant(known=False)
         now = self._clock.monotonic()
-        own = self._copies_by_id[endpoint_id].get(OWN)
+        own = self._copies_by_id[endpoint_id].get(LOCAL)
         if report.sequence < known.sequence:
-            # A report that was overtaken, or one of a restarted count.
+            # A report out of order, or one of a restarted sequence.
             renewed = replace(own or known, lease_until=now + LEASE_SECONDS)
-            self.take_copy(OWN, renewed)
+            self.take_copy(LOCAL, renewed)
             return self._grant(known=True)
         endpoint = replace(
             known,
@@ -121,38 +123,39 @@
             sequence=report.sequence,
             reported_at=now - report.age_seconds,
             lease_until=now + LEASE_SECONDS,
-            versions=_choose(report.versions, known.versions),
-            adapters=_choose(report.adapters, known.adapters),
+            versions=_reported_or_known(report.versions, known.versions),
+            adapters=_reported_or_known(report.adapters, known.adapters),
             role=report.role or known.role,
         )
-        self.take_copy(OWN, endpoint)
+        self.take_copy(LOCAL, endpoint)
         if report.leaving:
             self.leave(endpoint_id, report.incarnation)
-        resync = self.cache_of(endpoint_id).take_report(report)
+        resync = self.cache_of(endpoint_id).apply_report(report)
         return self._grant(known=True, resync=resync)
 
     def leave(self, endpoint_id: str, incarnation: int) -> None:
-        """Give an endpoint no new work; its running work goes on."""
-        if self._left_by_id.get(endpoint_id, -1) >= incarnation:
+        """Start draining: running requests finish, no new ones are sent."""
+        if self._drained_by_id.get(endpoint_id, -1) >= incarnation:
             return
-        self._left_by_id[endpoint_id] = incarnation
-        _trim(self._left_by_id)
+        self._drained_by_id[endpoint_id] = incarnation
+        _trim(self._drained_by_id)
         known = self.endpoints_by_id.get(endpoint_id)
-        if not _is_same(known, incarnation):
+        if not _has_incarnation(known, incarnation):
             return
         assert known is not None
-        if OWN not in self._copies_by_id[endpoint_id]:
-            # Its reporter may have missed it: this VM tells it on as well.
+        if LOCAL not in self._copies_by_id[endpoint_id]:
+            # Its reporter may have missed it, so this VM publishes it too.
             lease = self._clock.monotonic() + LEASE_SECONDS
-            self.take_copy(OWN, replace(known, lease_until=lease))
+            self.take_copy(LOCAL, replace(known, lease_until=lease))
         self._merge(endpoint_id)
         self._timeline.record("endpoint.leaving", endpoint_id=endpoint_id)
-        self._tell()
+        self._notify_listeners()
 
     def candidates(self, service: str) -> list[Endpoint]:
-        """Return the endpoints of a service that may get new work.
+        """Return the endpoints of a service that may get new requests.
 
-        Those held back for flapping are left out unless there is no other.
+        Endpoints suppressed for flapping are only returned if there is no
+        other.
         """
         now = self._clock.monotonic()
         live = [
@@ -162,39 +165,43 @@
             and not endpoint.leaving
             and endpoint.lease_until > now
         ]
-        steady = [e for e in live if not self._damping.is_held(e.url, now)]
-        return steady or live
+        not_suppressed = [
+            e for e in live if not self._damping.is_suppressed(e.url, now)
+        ]
+        return not_suppressed or live
 
-    def is_held(self, endpoint: Endpoint) -> bool:
-        """Say whether an endpoint is held back for flapping."""
-        return self._damping.is_held(endpoint.url, self._clock.monotonic())
+    def is_suppressed(self, endpoint: Endpoint) -> bool:
+        """Return whether an endpoint is suppressed for flapping."""
+        return self._damping.is_suppressed(
+            endpoint.url, self._clock.monotonic()
+        )
 
     def cache_of(self, endpoint_id: str) -> PrefixCache:
-        """Return what is known of an endpoint's prefix cache."""
+        """Return the known content of an endpoint's prefix cache."""
         cache = self._caches_by_id.get(endpoint_id)
         if cache is None:
             cache = self._caches_by_id[endpoint_id] = PrefixCache()
         return cache
 
     def own_endpoints(self) -> list[Endpoint]:
-        """Return the endpoints whose reporter this VM is."""
+        """Return the endpoints that report to this VM."""
         return [
-            copies[OWN]
+            copies[LOCAL]
             for copies in self._copies_by_id.values()
-            if OWN in copies
+            if LOCAL in copies
         ]
 
     def has_left(self, endpoint: Endpoint) -> bool:
-        """Say whether this incarnation of an endpoint wants no new work."""
-        left = self._left_by_id.get(endpoint.endpoint_id, -1)
-        return left >= endpoint.incarnation
+        """Return whether this incarnation of an endpoint is draining."""
+        drained = self._drained_by_id.get(endpoint.endpoint_id, -1)
+        return drained >= endpoint.incarnation
 
     def copy_of(self, vm_id: str, endpoint_id: str) -> Endpoint | None:
-        """Return what a VM is known to know of an endpoint."""
+        """Return a VM's copy of an endpoint, if there is one."""
         return self._copies_by_id.get(endpoint_id, {}).get(vm_id)
 
     def take_copy(self, vm_id: str, endpoint: Endpoint) -> None:
-        """Take in what a VM knows of an endpoint; ``OWN`` is this VM."""
+        """Store a VM's copy of an endpoint; ``LOCAL`` is this VM."""
         name, url = endpoint.endpoint_id, endpoint.url
         if self._is_outdated(name, url, endpoint.incarnation):
             return
@@ -205,7 +212,7 @@
         if other is not None and other != name:
             if not self._replaces(endpoint, other):
                 return
-            self._forget(other, "endpoint.replaced")
+            self._remove(other, "endpoint.replaced")
         self._id_by_url[url] = name
         copies = self._copies_by_id.setdefault(name, {})
         for source, copy in list(copies.items()):
@@ -215,13 +222,13 @@
         self._merge(name)
 
     def drop_copy(self, vm_id: str, endpoint_id: str) -> None:
-        """Forget what a VM knew of an endpoint."""
+        """Remove a VM's copy of an endpoint."""
         copies = self._copies_by_id.get(endpoint_id)
         if copies is not None and copies.pop(vm_id, None) is not None:
             self._merge(endpoint_id)
 
     def prune(self) -> None:
-        """Drop the copies whose lease has ended."""
+        """Remove the copies whose lease has expired."""
         now = self._clock.monotonic()
         for endpoint_id, copies in list(self._copies_by_id.items()):
             for vm_id, copy in list(copies.items()):
@@ -231,7 +238,7 @@
     def _merge(self, endpoint_id: str) -> None:
         copies = self._copies_by_id.get(endpoint_id)
         if not copies:
-            self._forget(endpoint_id, "endpoint.gone")
+            self._remove(endpoint_id, "endpoint.gone")
             return
         source, best = max(
             copies.items(),
@@ -242,7 +249,7 @@
             since = known.known_since
         else:
             since = self._clock.monotonic()
-            self._note_appeared(best)
+            self._handle_new_incarnation(best)
         merged = (
             self.has_left(best),
             since,
@@ -260,15 +267,19 @@
                 copies[source] = best
         self.endpoints_by_id[endpoint_id] = best
 
-    def _note_appeared(self, endpoint: Endpoint) -> None:
+    def _handle_new_incarnation(self, endpoint: Endpoint) -> None:
         self._caches_by_id.pop(endpoint.endpoint_id, None)
-        hold = self._damping.note_return(endpoint.url, self._clock.monotonic())
-        if hold:
+        suppression = self._damping.record_return(
+            endpoint.url, self._clock.monotonic()
+        )
+        if suppression:
             self._timeline.record(
-                "endpoint.held", endpoint_id=endpoint.endpoint_id, seconds=hold
+                "endpoint.held",
+                endpoint_id=endpoint.endpoint_id,
+                seconds=suppression,
             )
 
-    def _forget(self, endpoint_id: str, event: str) -> None:
+    def _remove(self, endpoint_id: str, event: str) -> None:
         self._copies_by_id.pop(endpoint_id, None)
         self._caches_by_id.pop(endpoint_id, None)
         known = self.endpoints_by_id.pop(endpoint_id, None)
@@ -277,7 +288,7 @@
         if self._id_by_url.get(known.url) == endpoint_id:
             del self._id_by_url[known.url]
         self._timeline.record(event, endpoint_id=endpoint_id)
-        self._tell()
+        self._notify_listeners()
 
     def _is_outdated(
         self, endpoint_id: str, url: str, incarnation: int
@@ -289,20 +300,20 @@
         return incarnation < newest
 
     def _replaces(self, endpoint: Endpoint, other_id: str) -> bool:
-        # Two ids that claim one address under one incarnation are a fault
-        # of the endpoint; the order of ids keeps all VMs at one of them.
+        # Two ids at one address with the same incarnation are an error of
+        # the endpoint. Comparing the ids makes all VMs select the same one.
         other = self.endpoints_by_id[other_id]
         new = (endpoint.incarnation, endpoint.endpoint_id)
         return new > (other.incarnation, other_id)
 
-    def _tell(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self._listeners:
             listener()
 
-    def _report_seconds(self) -> float:
-        if len(self.endpoints_by_id) < MANY_ENDPOINTS:
+    def _report_interval(self) -> float:
+        if len(self.endpoints_by_id) < SLOW_REPORT_MIN_ENDPOINTS:
             return REPORT_SECONDS
-        return REPORT_SECONDS_OF_MANY
+        return SLOW_REPORT_SECONDS
 
     def _grant(
         self,
@@ -313,23 +324,23 @@
     ) -> LeaseGrant:
         return LeaseGrant(
             lease_seconds=LEASE_SECONDS,
-            report_seconds=self._report_seconds(),
+            report_seconds=self._report_interval(),
             known=known,
             resync=resync,
             entries=list(entries),
         )
 
 
-def _is_same(endpoint: Endpoint | None, incarnation: int) -> bool:
+def _has_incarnation(endpoint: Endpoint | None, incarnation: int) -> bool:
     return endpoint is not None and endpoint.incarnation == incarnation
 
 
-def _choose(
+def _reported_or_known(
     reported: list[str] | None, known: frozenset[str]
 ) -> frozenset[str]:
     return known if reported is None else frozenset(reported)
 
 
 def _trim(ordered: collections.OrderedDict) -> None:
-    while len(ordered) > MAX_ENDED:
+    while len(ordered) > MAX_REMEMBERED_INCARNATIONS:
         ordered.popitem(last=False)
--- a/burdockdrum/endpoints/services.py
+++ b/burdockdrum/endpoints/services.py
@@ -1,4 +1,4 @@
-"""Name the services of this package."""
+"""Registration of this package's services in the kernel."""
 
 from burdockdrum.endpoints.registry import EndpointRegistry
 from burdockdrum.kernel import Kernel
@@ -7,7 +7,7 @@
 
 
 def add_services(kernel: Kernel) -> None:
-    """Name the registry of endpoints."""
+    """Register the registry of endpoints."""
     kernel.add("endpoints", _build_endpoints)
 
 
--- a/tests/endpoints/test_registry.py
+++ b/tests/endpoints/test_registry.py
@@ -1,4 +1,4 @@
-"""The endpoints that one VM knows."""
+"""Tests of the endpoint registry."""
 
 import asyncio
 import unittest
@@ -7,10 +7,10 @@
 from burdockdrum.endpoints import CacheEvent
 from burdockdrum.endpoints import EndpointRegistry
 from burdockdrum.endpoints import LEASE_SECONDS
-from burdockdrum.endpoints import MANY_ENDPOINTS
 from burdockdrum.endpoints import PREFIXES_AN_ENDPOINT
 from burdockdrum.endpoints import Report
 from burdockdrum.endpoints import REPORT_SECONDS
+from burdockdrum.endpoints import SLOW_REPORT_MIN_ENDPOINTS
 from burdockdrum.testing import run_virtual
 from burdockdrum.testing import VirtualClock
 from burdockdrum.timeline import HybridClock
@@ -46,20 +46,20 @@
     )
 
 
-def names(registry: EndpointRegistry) -> list[str]:
-    """Return the ids of the endpoints that get new work."""
+def find_candidate_ids(registry: EndpointRegistry) -> list[str]:
+    """Return the ids of the endpoints that get new requests."""
     return [e.endpoint_id for e in registry.candidates("planner")]
 
 
 class RegistryTest(unittest.TestCase):
-    """Announcements and reports of endpoints, in and out of order."""
+    """Announcements and reports, in order and out of order."""
 
     def test_many_endpoints_report_less_often_and_within_their_lease(self):
         async def main():
             registry = make_registry()
             grants = [
                 announce(registry, endpoint_id=f"e{i}", url=f"http://e{i}")
-                for i in range(MANY_ENDPOINTS)
+                for i in range(SLOW_REPORT_MIN_ENDPOINTS)
             ]
             self.assertEqual(REPORT_SECONDS, grants[0].report_seconds)
             slow = grants[-1].report_seconds
@@ -68,10 +68,9 @@
 
         run_virtual(main())
 
-    def test_late_messages_of_a_dead_incarnation_change_nothing(self):
-        # An engine is restarted at its address. The old process's report,
-        # held up by the network, arrives after the new announcement, and
-        # then its leaving. Neither may touch the new one.
+    def test_late_messages_of_an_old_incarnation_are_ignored(self):
+        # Delayed messages of the old process arrive after the announcement
+        # of the new one at the same address.
         async def main():
             registry = make_registry()
             announce(registry, incarnation=1)
@@ -82,11 +81,11 @@
             self.assertFalse(announce(registry, incarnation=1).known)
             endpoint = registry.endpoints_by_id["e1"]
             self.assertEqual((2, 0), (endpoint.incarnation, endpoint.running))
-            self.assertEqual(["e1"], names(registry))
+            self.assertEqual(["e1"], find_candidate_ids(registry))
 
         run_virtual(main())
 
-    def test_old_start_stays_out_after_its_record_has_expired(self):
+    def test_old_incarnation_is_rejected_after_the_lease_has_expired(self):
         async def main():
             registry = make_registry()
             announce(registry, incarnation=2)
@@ -97,7 +96,7 @@
 
         run_virtual(main())
 
-    def test_overtaken_report_renews_but_changes_no_figure(self):
+    def test_report_out_of_order_does_not_change_the_load(self):
         async def main():
             registry = make_registry()
             announce(registry)
@@ -107,62 +106,62 @@
 
         run_virtual(main())
 
-    def test_leaving_is_kept_when_it_announces_itself_again(self):
-        # The reporter forgot the endpoint and asks for an announcement; the
-        # same start is still leaving and must get no new work.
+    def test_draining_persists_when_the_endpoint_announces_again(self):
+        # A reporter that has lost the endpoint requests an announcement; the
+        # same incarnation must still get no new requests.
         async def main():
             registry = make_registry()
             announce(registry)
             registry.leave("e1", 1)
             announce(registry)
-            self.assertEqual([], names(registry))
+            self.assertEqual([], find_candidate_ids(registry))
             announce(registry, incarnation=2)
-            self.assertEqual(["e1"], names(registry))
+            self.assertEqual(["e1"], find_candidate_ids(registry))
 
         run_virtual(main())
 
-    def test_leaving_told_in_a_report(self):
+    def test_report_can_start_draining(self):
         async def main():
             registry = make_registry()
             announce(registry)
             report = Report(incarnation=1, sequence=1, leaving=True)
             registry.report("e1", report)
-            self.assertEqual([], names(registry))
+            self.assertEqual([], find_candidate_ids(registry))
 
         run_virtual(main())
 
     def test_flapping_endpoint_is_held_back_longer_each_time(self):
-        # An endpoint crashes a second after each start and loses what it
-        # was given. Its third return within two minutes is held back.
+        # An endpoint that crashes after each start loses its requests. It is
+        # suppressed from its third return within two minutes on.
         async def main():
             registry = make_registry()
             announce(registry, endpoint_id="e2", url="http://e2")
-            held = []
+            suppressed_seconds = []
             for incarnation in range(1, 6):
                 announce(registry, incarnation=incarnation)
                 start = asyncio.get_running_loop().time()
-                while "e1" not in names(registry):
+                while "e1" not in find_candidate_ids(registry):
                     await asyncio.sleep(0.5)
                     announce(registry, incarnation=incarnation)
                     announce(registry, endpoint_id="e2", url="http://e2")
                 now = asyncio.get_running_loop().time()
-                held.append(round(now - start))
-            self.assertEqual([0, 0, 4, 8, 16], held)
+                suppressed_seconds.append(round(now - start))
+            self.assertEqual([0, 0, 4, 8, 16], suppressed_seconds)
 
         run_virtual(main())
 
-    def test_held_back_endpoints_serve_when_there_is_no_other(self):
+    def test_suppressed_endpoint_is_used_if_there_is_no_other(self):
         async def main():
             registry = make_registry()
             for incarnation in range(1, 6):
                 announce(registry, incarnation=incarnation)
-            self.assertEqual(["e1"], names(registry))
+            self.assertEqual(["e1"], find_candidate_ids(registry))
 
         run_virtual(main())
 
     def test_gap_in_cache_events_asks_for_all(self):
-        # Events 3 and 4 were lost. Until everything was sent again the
-        # endpoint is asked for it with each report.
+        # After lost events, a full resync is requested with each report
+        # until it arrives.
         async def main():
             registry = make_registry()
             announce(registry)
@@ -205,7 +204,7 @@
 
         run_virtual(main())
 
-    def test_returned_endpoint_has_an_empty_cache(self):
+    def test_restarted_endpoint_has_an_empty_cache(self):
         async def main():
             registry = make_registry()
             announce(registry)
