--- a/burdockdrum/requests/__init__.py
+++ b/burdockdrum/requests/__init__.py
@@ -1,4 +1,8 @@
-"""A request's life: from admission to the whole answer or a refusal."""
+"""Handling of a request, from admission to the complete answer or a refusal.
+
+Requests are attempted at endpoints or forwarded to other data centres, and
+retried within the limits that their kind, deadline and residency allow.
+"""
 
 from burdockdrum.requests.attempts import VERDICT_HEADER
 from burdockdrum.requests.forwarding import FORWARD_HEADER
--- a/burdockdrum/requests/attempts.py
+++ b/burdockdrum/requests/attempts.py
@@ -1,8 +1,7 @@
 """One attempt at a request: at an endpoint, or through another entry VM.
 
-What can go wrong on the socket is turned into an ``AttemptFailed`` here,
-with the verdict that the facts allow: not run while nothing was sent, may
-have run from then on.
+Errors of the connection are converted to ``AttemptFailed``. Its verdict is
+"not run" if nothing was sent, and "may have run" otherwise.
 """
 
 import asyncio
@@ -14,30 +13,30 @@
 from burdockdrum.endpoints import Endpoint
 from burdockdrum.ports import AnswerLost
 from burdockdrum.ports import UpstreamAnswer
-from burdockdrum.requests.events import is_of_other
-from burdockdrum.requests.silence import SilenceTimer
+from burdockdrum.requests.events import has_other_request_id
+from burdockdrum.requests.silence import IdleTimer
 from burdockdrum.routing import Attempt
 from burdockdrum.routing import AttemptOutcome
 from burdockdrum.verdicts import Refusal
 from burdockdrum.verdicts import RefusalCode
 from burdockdrum.verdicts import Verdict
 
-# On refusals of the system, so that an entry VM which passed a request on
-# tells them from the errors of an endpoint.
+# Set on the gateway's own refusals, so that a forwarding entry VM can tell
+# them from errors of an endpoint.
 VERDICT_HEADER = "x-verdict"
 REQUEST_ID_HEADER = "x-request-id"
-DRAIN_SECONDS = 0.5
+DRAIN_TIMEOUT_SECONDS = 0.5
 MAX_WHOLE_BYTES = 4 * 1024 * 1024
-# What an overloaded or failing server answers before it does the work.
+# Statuses of an overloaded or failing server.
 RETRYABLE_STATUSES = frozenset({429, 500, 502, 503, 504})
 
 
 class AttemptFailed(Exception):
-    """An attempt that gave no whole answer.
+    """An attempt without a complete answer.
 
-    ``lost`` is true where the connection broke under the request, as when
-    the endpoint crashed. ``final`` forbids another attempt: the other side
-    has made its own.
+    ``lost`` is true if the connection broke during the request, for example
+    because the endpoint crashed. ``final`` rules out another attempt, for
+    example because the other side has already made its retries.
     """
 
     def __init__(
@@ -56,22 +55,22 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class ToEndpointPlace:
-    """An attempt runs at an endpoint of this data centre."""
+class EndpointTarget:
+    """An endpoint of this data centre, and the attempt there."""
 
     endpoint: Endpoint
     attempt: Attempt
 
 
 @dataclass(frozen=True, kw_only=True)
-class ToDataCentrePlace:
-    """An attempt runs through an entry VM of another data centre."""
+class DataCentreTarget:
+    """An entry VM of another data centre."""
 
     data_centre: str
     vm_id: str
 
 
-Place = ToEndpointPlace | ToDataCentrePlace
+Target = EndpointTarget | DataCentreTarget
 
 
 class Upstream:
@@ -81,23 +80,23 @@
         self,
         *,
         answer: UpstreamAnswer,
-        place: Place,
+        target: Target,
         attempt_id: str,
-        silence_seconds: float,
+        idle_timeout: float,
     ) -> None:
-        """Take over an answer whose head has come.
+        """Wrap an answer whose head has been received.
 
-        :param silence_seconds: how long nothing may come in the middle
+        :param idle_timeout: maximum time between two parts of the body
         """
         self.status = answer.status
         self.headers = answer.headers
-        self.place = place
+        self.target = target
         self.attempt_id = attempt_id.encode()
         self._answer = answer
-        self._silence_seconds = silence_seconds
-        self._silence = SilenceTimer()
+        self._idle_timeout = idle_timeout
+        self._idle_timer = IdleTimer()
         self._parts: AsyncIterator[bytes] = aiter(answer.chunks())
-        # A refusal of another entry VM bears an id of its own.
+        # A refusal of another entry VM has a request id of its own.
         if VERDICT_HEADER not in answer.headers:
             self._check_id(answer.headers.get(REQUEST_ID_HEADER))
 
@@ -105,28 +104,28 @@
         """Return the next part of the body, or None at its end.
 
         :param seconds: until the deadline
-        :raises AttemptFailed: if it breaks, or is silent for too long
+        :raises AttemptFailed: if the connection breaks or a timeout expires
         """
-        self._silence.begin(min(seconds, self._silence_seconds))
+        self._idle_timer.begin(min(seconds, self._idle_timeout))
         try:
             part = await anext(self._parts, None)
         except asyncio.CancelledError:
-            if not self._silence.absorb():
+            if not self._idle_timer.absorb():
                 raise
-            raise fail_silent("nothing came in the middle") from None
+            raise fail_timed_out("idle timeout within the answer") from None
         except AnswerLost as error:
-            raise fail_lost(error) from error
+            raise fail_connection_lost(error) from error
         finally:
-            self._silence.end()
-        if part is not None and isinstance(self.place, ToEndpointPlace):
-            self.place.attempt.note_first_token()
+            self._idle_timer.end()
+        if part is not None and isinstance(self.target, EndpointTarget):
+            self.target.attempt.note_first_token()
         return part
 
     async def read_whole(self, seconds: float) -> bytes:
         """Read the body to its end.
 
-        :param seconds: how long that may take
-        :raises AttemptFailed: if it breaks, is late or is too large
+        :param seconds: timeout for the whole body
+        :raises AttemptFailed: if it breaks, times out or is too large
         """
         body, ended = await self.read_start(seconds, MAX_WHOLE_BYTES)
         if not ended:
@@ -136,11 +135,11 @@
     async def read_start(
         self, seconds: float, limit: int
     ) -> tuple[bytes, bool]:
-        """Read a body up to a size, and say whether it has ended.
+        """Read a body up to a size; return it and whether it has ended.
 
-        :param seconds: how long that may take
-        :param limit: in bytes; one part more may be returned
-        :raises AttemptFailed: if it breaks or is late
+        :param seconds: timeout for reading
+        :param limit: in bytes; the last part may exceed it
+        :raises AttemptFailed: if it breaks or times out
         """
         parts: list[bytes] = []
         size = 0
@@ -153,31 +152,33 @@
                     parts.append(part)
                     size += len(part)
         except TimeoutError:
-            raise fail_silent("the answer was not whole in time") from None
+            raise fail_timed_out(
+                "the answer was not complete in time"
+            ) from None
         except AnswerLost as error:
-            raise fail_lost(error) from error
+            raise fail_connection_lost(error) from error
         return b"".join(parts), False
 
-    def check_owner(self, content: bytes) -> None:
-        """Check that a part of the answer is this attempt's own.
+    def check_request_id(self, content: bytes) -> None:
+        """Check that a part of the answer belongs to this attempt.
 
-        :raises AttemptFailed: if it bears another request's id
+        :raises AttemptFailed: if it has another request's id
         """
-        if is_of_other(content, self.attempt_id):
-            raise _fail_crossed()
+        if has_other_request_id(content, self.attempt_id):
+            raise _fail_wrong_request()
 
     def finish(self, outcome: AttemptOutcome, *, tokens: int = 0) -> None:
-        """Let routing learn how the attempt ended."""
-        if isinstance(self.place, ToEndpointPlace):
-            self.place.attempt.finish(outcome, tokens=tokens)
+        """Report to the router how the attempt ended."""
+        if isinstance(self.target, EndpointTarget):
+            self.target.attempt.finish(outcome, tokens=tokens)
 
     async def drain(self) -> None:
         """Read the end of a body whose content is complete.
 
-        The connection can then serve another request.
+        The connection can then be reused for another request.
         """
         try:
-            async with asyncio.timeout(DRAIN_SECONDS):
+            async with asyncio.timeout(DRAIN_TIMEOUT_SECONDS):
                 async for _ in self._parts:
                     pass
         except (TimeoutError, AnswerLost):
@@ -187,18 +188,18 @@
 
     async def close(self) -> None:
         """Close the connection unless the body was read to its end."""
-        self._silence.stop()
+        self._idle_timer.stop()
         await self._answer.close()
 
     def _check_id(self, value: str | None) -> None:
         if value is None or not value.startswith("req-"):
             return
         if value.encode() != self.attempt_id:
-            raise _fail_crossed()
+            raise _fail_wrong_request()
 
 
-def fail_lost(error: Exception) -> AttemptFailed:
-    """Return the failure of a connection that broke under a request."""
+def fail_connection_lost(error: Exception) -> AttemptFailed:
+    """Return the failure of a connection that broke during a request."""
     return AttemptFailed(
         Refusal(
             code=RefusalCode.ENDPOINT_LOST,
@@ -209,8 +210,8 @@
     )
 
 
-def fail_silent(message: str) -> AttemptFailed:
-    """Return the failure of an attempt that was given up."""
+def fail_timed_out(message: str) -> AttemptFailed:
+    """Return the failure of an attempt that timed out."""
     return AttemptFailed(
         Refusal(
             code=RefusalCode.ENDPOINT_LOST,
@@ -222,7 +223,7 @@
 
 
 def fail_unreachable(error: Exception) -> AttemptFailed:
-    """Return the failure of a connect: no byte has left."""
+    """Return the failure to connect, in which case nothing was sent."""
     return AttemptFailed(
         Refusal(
             code=RefusalCode.NO_ENDPOINT,
@@ -235,7 +236,7 @@
 
 
 def fail_incomplete(*, final: bool = False) -> AttemptFailed:
-    """Return the failure of an answer that ended before it was whole."""
+    """Return the failure of an answer that ended too early."""
     return AttemptFailed(
         Refusal(
             code=RefusalCode.ENDPOINT_LOST,
@@ -247,7 +248,7 @@
 
 
 def fail_status(status: int) -> AttemptFailed:
-    """Return the failure of an endpoint that answered with an error."""
+    """Return the failure of an endpoint that returned an error status."""
     return AttemptFailed(
         Refusal(
             code=RefusalCode.ENDPOINT_ERROR,
@@ -265,17 +266,17 @@
     message: str
 
 
-class _Wrapped(msgspec.Struct, frozen=True):
+class _ErrorAnswer(msgspec.Struct, frozen=True):
     error: _ErrorBody
 
 
 async def read_refusal(upstream: Upstream, seconds: float) -> AttemptFailed:
-    """Read why another entry VM refused a request that was passed on.
+    """Read the refusal of a forwarded request by another entry VM.
 
-    It is final unless nothing has run there: the other side made its own
-    retries, and retries of retries would multiply.
+    It is final unless its verdict is "not run": the other side has made its
+    retries, and retries at both hops would multiply.
 
-    :raises AttemptFailed: if the refusal breaks off
+    :raises AttemptFailed: if the refusal can't be read to its end
     """
     try:
         body = await upstream.read_whole(seconds)
@@ -285,7 +286,7 @@
     code = RefusalCode.ENDPOINT_ERROR
     message = f"refused with status {upstream.status}"
     try:
-        error = msgspec.json.decode(body, type=_Wrapped).error
+        error = msgspec.json.decode(body, type=_ErrorAnswer).error
         verdict = Verdict(upstream.headers[VERDICT_HEADER])
         code = RefusalCode(error.code)
         message = error.message
@@ -305,11 +306,11 @@
     )
 
 
-def _fail_crossed() -> AttemptFailed:
+def _fail_wrong_request() -> AttemptFailed:
     return AttemptFailed(
         Refusal(
             code=RefusalCode.ENDPOINT_ERROR,
-            message="the endpoint answered another request",
+            message="the answer has the id of another request",
             verdict=Verdict.MAY_HAVE_RUN,
         )
     )
@@ -319,7 +320,7 @@
     return AttemptFailed(
         Refusal(
             code=RefusalCode.ANSWER_TOO_LARGE,
-            message=f"the answer is over {MAX_WHOLE_BYTES} bytes",
+            message=f"the answer exceeds {MAX_WHOLE_BYTES} bytes",
             verdict=Verdict.RAN,
         ),
         final=True,
--- a/burdockdrum/requests/budget.py
+++ b/burdockdrum/requests/budget.py
@@ -1,32 +1,32 @@
-"""How many retries an entry VM may add to the load.
+"""The retry budget of an entry VM.
 
-A retry budget as a share of the requests, after the Google SRE book's
-chapter "Handling Overload": when endpoints fail together, retries without a
-bound would multiply the load that made them fail.
+Retries are limited to a fraction of the requests, after the Google SRE book's
+chapter "Handling Overload": if many endpoints fail at once, unlimited retries
+would multiply the load that made them fail.
 """
 
-RETRY_SHARE = 0.1
-# Retries that are allowed after a quiet time, when few requests earned any.
-RESERVE = 10.0
+RETRY_RATIO = 0.1
+# Capacity of the bucket: the burst of retries allowed at a low request rate.
+MAX_TOKENS = 10.0
 
 
 class RetryBudget:
-    """A bucket that each request fills by a share and a retry empties."""
+    """A token bucket that is filled by requests and drained by retries."""
 
     def __init__(
-        self, *, share: float = RETRY_SHARE, reserve: float = RESERVE
+        self, *, ratio: float = RETRY_RATIO, max_tokens: float = MAX_TOKENS
     ) -> None:
         """Create a full bucket."""
-        self._share = share
-        self._reserve = reserve
-        self._tokens = reserve
+        self._ratio = ratio
+        self._max_tokens = max_tokens
+        self._tokens = max_tokens
 
-    def earn(self) -> None:
-        """Note a request."""
-        self._tokens = min(self._reserve, self._tokens + self._share)
+    def deposit(self) -> None:
+        """Add the tokens of one request."""
+        self._tokens = min(self._max_tokens, self._tokens + self._ratio)
 
-    def spend(self) -> bool:
-        """Take a retry, or say that there is none."""
+    def try_withdraw(self) -> bool:
+        """Withdraw one retry; return False if the budget is exhausted."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/burdockdrum/requests/events.py
+++ b/burdockdrum/requests/events.py
@@ -1,7 +1,7 @@
-"""Server-sent events of a streamed completion, as far as relaying needs.
+"""Parsing of server-sent events for relaying a streamed completion.
 
-After the HTML Living Standard, "Server-sent events". An event's ``id`` is
-the number of tokens sent with it, from which a broken stream is resumed;
+After the HTML Living Standard, "Server-sent events". An event's ``id`` is the
+offset in tokens after it, from which a broken stream is resumed;
 ``data: [DONE]`` is the terminal marker.
 """
 
@@ -13,72 +13,72 @@
 _DONE = b"data: [DONE]"
 _UNFINISHED = b'"finish_reason":null'
 _ID_FIELD = b'"id":"'
-_OWN_IDS = b"req-"
+_REQUEST_ID_PREFIX = b"req-"
 
 
 class EventTooLarge(Exception):
-    """An event did not end within the bound."""
+    """An event exceeds ``MAX_EVENT_BYTES``."""
 
 
 class EventSplitter:
-    """Cut a byte stream into events."""
+    """Splits a byte stream into events."""
 
     def __init__(self) -> None:
-        """Start before the first event."""
-        self._rest = b""
+        """Create a splitter with an empty buffer."""
+        self._buffer = b""
 
     def feed(self, chunk: bytes) -> list[bytes]:
-        """Return the events that a chunk completes, each with its end.
+        """Return the events that a chunk completes, each with its blank line.
 
-        :raises EventTooLarge: if one is over the bound
+        :raises EventTooLarge: if an event exceeds the limit
         """
         if b"\r" in chunk:
             chunk = chunk.replace(b"\r\n", b"\n")
-        if self._rest:
-            chunk = self._rest + chunk
+        if self._buffer:
+            chunk = self._buffer + chunk
         parts = chunk.split(b"\n\n")
-        self._rest = parts.pop()
-        if len(self._rest) > MAX_EVENT_BYTES:
+        self._buffer = parts.pop()
+        if len(self._buffer) > MAX_EVENT_BYTES:
             raise EventTooLarge(f"over {MAX_EVENT_BYTES} bytes")
         return [part + b"\n\n" for part in parts if part]
 
 
 def is_done(event: bytes) -> bool:
-    """Say whether an event is the terminal marker."""
-    # A line break can't stand in JSON text, so an answer that speaks of the
-    # marker is not taken for it.
+    """Return whether an event is the terminal marker."""
+    # JSON text contains no literal line break, so the marker within the text
+    # of an answer is not matched.
     return event.startswith(_DONE) or b"\n" + _DONE in event
 
 
 def is_error(event: bytes) -> bool:
-    """Say whether an event tells that the stream failed."""
+    """Return whether an event reports that the stream failed."""
     return event.startswith(b"event: error")
 
 
 def is_unfinished(event: bytes) -> bool:
-    """Say whether an event carries tokens and not the reason of the end."""
+    """Return whether an event has no finish reason yet."""
     return _UNFINISHED in event
 
 
 def read_offset(event: bytes) -> int | None:
-    """Return how many tokens were sent with an event, if it says so."""
+    """Return the token offset of an event, or None if it has no valid id."""
     if not event.startswith(b"id:"):
         return None
     digits = event[3 : event.index(b"\n")].strip()
     return int(digits) if digits.isdigit() else None
 
 
-def is_of_other(content: bytes, request_id: bytes) -> bool:
-    """Say whether an answer bears the id of another request of ours.
+def has_other_request_id(content: bytes, request_id: bytes) -> bool:
+    """Return whether an answer has the id of another gateway request.
 
-    An engine that mixes up two streams must not show one caller another's
-    answer. Ids that the gateway did not make say nothing.
+    This guards against engines that mix up two streams, which would expose
+    one caller's answer to another. Ids of other formats are ignored.
     """
     start = content.find(_ID_FIELD)
     if start < 0:
         return False
     start += len(_ID_FIELD)
-    if not content.startswith(_OWN_IDS, start):
+    if not content.startswith(_REQUEST_ID_PREFIX, start):
         return False
     return not content.startswith(request_id + b'"', start)
 
@@ -95,7 +95,7 @@
 
 
 def make_error_event(refusal: Refusal, request_id: str) -> bytes:
-    """Return the event that ends a stream which can't be completed."""
+    """Return the error event that ends an incomplete stream."""
     body = _ErrorBody(
         code=refusal.code.value,
         message=refusal.message,
--- a/burdockdrum/requests/exchange.py
+++ b/burdockdrum/requests/exchange.py
@@ -1,8 +1,8 @@
-"""The attempts that one request needs until an answer is there.
+"""The sequence of attempts at one request.
 
-Retries are local: a request that was passed on is retried by the entry VM
-that received it; the one that passed it on tries elsewhere only if nothing
-has run there, or if that entry VM itself was lost.
+Retries are made at one hop only: a forwarded request is retried by the entry
+VM that received it. The forwarding entry VM retries elsewhere only if nothing
+has run there, or if the connection to that entry VM was lost.
 """
 
 from dataclasses import dataclass
@@ -15,13 +15,13 @@
 from burdockdrum.quarantine import Quarantine
 from burdockdrum.quarantine import Trial
 from burdockdrum.requests.attempts import AttemptFailed
+from burdockdrum.requests.attempts import DataCentreTarget
+from burdockdrum.requests.attempts import EndpointTarget
 from burdockdrum.requests.attempts import read_refusal
-from burdockdrum.requests.attempts import ToDataCentrePlace
-from burdockdrum.requests.attempts import ToEndpointPlace
 from burdockdrum.requests.attempts import Upstream
 from burdockdrum.requests.attempts import VERDICT_HEADER
 from burdockdrum.requests.budget import RetryBudget
-from burdockdrum.requests.meters import RequestMeters
+from burdockdrum.requests.meters import RequestMetrics
 from burdockdrum.requests.model import InboundRequest
 from burdockdrum.requests.priority import find_priority
 from burdockdrum.requests.residency import find_allowed_regions
@@ -38,18 +38,18 @@
 from burdockdrum.verdicts import Verdict
 from burdockdrum.verdicts import worst
 
-# Attempts at one request by one entry VM, the first included.
+# Attempts at one request by one entry VM, including the first.
 MAX_ATTEMPTS = 4
 MAX_FORWARDS = 2
-# After a failure with no other endpoint left, the same one is asked again.
-BACKOFF_SECONDS = 0.25
-# Between two times that a suspect asks whether it may run.
-TRIAL_PAUSE_SECONDS = 0.1
+# Linear backoff: the delay grows by this much with each further attempt.
+BACKOFF_STEP_SECONDS = 0.25
+# Interval at which a quarantined request polls for its turn.
+TRIAL_POLL_SECONDS = 0.1
 
 
 @dataclass(frozen=True, kw_only=True)
-class ExchangeParts:
-    """What every exchange of an entry VM shares."""
+class ExchangeServices:
+    """The services that all exchanges of an entry VM use."""
 
     clock: Clock
     timeline: Timeline
@@ -60,42 +60,44 @@
     budget: RetryBudget
     quarantine: Quarantine
     identity: VmIdentity
-    meters: RequestMeters
+    metrics: RequestMetrics
 
 
-# A refusal of one entry VM, whose neighbours may do better.
-_OF_ENTRY_ALONE = frozenset(
+# Refusals that concern one entry VM and not its whole data centre.
+_ENTRY_SPECIFIC_CODES = frozenset(
     {RefusalCode.DRAINING, RefusalCode.CONFIGURATION_STALE}
 )
 
 
 class Exchange:
-    """One request, its attempts so far, and the verdict on them."""
+    """One request, its attempts so far, and their combined verdict."""
 
     def __init__(
-        self, *, parts: ExchangeParts, request: InboundRequest
+        self, *, services: ExchangeServices, request: InboundRequest
     ) -> None:
-        """Begin without an attempt."""
+        """Create an exchange without attempts."""
         self.request = request
-        self.delivered = request.resume_offset
+        self.delivered_tokens = request.resume_offset
         self.verdict = Verdict.NOT_RUN
-        self._parts = parts
+        self._services = services
         self._attempts = 0
         self._excluded_endpoints: frozenset[str] = frozenset()
         self._excluded_data_centres: frozenset[str] = frozenset()
         self._trial: Trial | None = None
-        self._last: Refusal | None = None
+        self._last_refusal: Refusal | None = None
 
     def make_demand(self) -> Demand:
-        """Describe the request for routing, as it stands now.
+        """Return the current routing parameters of the request.
 
-        :raises Refusal: if residency does not allow it to run anywhere
+        :raises Refusal: if residency allows no region
         """
         request = self.request
-        priority = find_priority(self._parts.configuration, request)
+        priority = find_priority(self._services.configuration, request)
         return Demand(
             service=request.service,
-            regions=find_allowed_regions(self._parts.configuration, request),
+            regions=find_allowed_regions(
+                self._services.configuration, request
+            ),
             deadline=request.deadline,
             rank=priority.rank,
             worth=priority.worth,
@@ -108,22 +110,22 @@
             excluded_endpoints=self._excluded_endpoints,
             excluded_data_centres=self._excluded_data_centres,
             displaced=request.displaced,
-            isolated=self._parts.quarantine.is_suspect(request.fingerprint),
+            isolated=self._services.quarantine.is_suspect(request.fingerprint),
         )
 
     def remaining(self) -> float:
         """Return the seconds until the deadline."""
-        return self.request.deadline - self._parts.clock.monotonic()
+        return self.request.deadline - self._services.clock.monotonic()
 
-    def may_try_elsewhere(self) -> bool:
-        """Say whether another attempt may be made after one that ran."""
+    def may_retry(self) -> bool:
+        """Return whether a request that may have run can be retried."""
         may = self._attempts < MAX_ATTEMPTS - 1 and self.remaining() > 0
         return may and self.request.may_run_again
 
     async def open(self) -> Upstream:
-        """Open attempts until one answers.
+        """Make attempts until one returns an answer.
 
-        :raises Refusal: with the verdict over all attempts
+        :raises Refusal: with the combined verdict of all attempts
         """
         while True:
             try:
@@ -131,77 +133,77 @@
                 if upstream is not None:
                     return upstream
             except AttemptFailed as failure:
-                await self._weigh(failure)
+                await self._handle_failure(failure)
             except Refusal as refusal:
                 raise self._admit(refusal) from None
 
     async def give_up(
         self, upstream: Upstream, failure: AttemptFailed
     ) -> None:
-        """End an attempt that failed; return if another may be made.
+        """End a failed attempt; return normally if a retry is allowed.
 
-        :raises Refusal: with the verdict over all attempts, if none may
+        :raises Refusal: with the combined verdict, if it is not allowed
         """
         await self._end(upstream, failure.outcome)
-        if failure.lost and isinstance(upstream.place, ToEndpointPlace):
-            self._note_loss(upstream.place.endpoint)
+        if failure.lost and isinstance(upstream.target, EndpointTarget):
+            self._report_loss(upstream.target.endpoint)
         self._exclude(upstream)
-        await self._weigh(failure)
+        await self._handle_failure(failure)
 
     async def abandon(self, upstream: Upstream) -> None:
-        """End an attempt whose caller has gone."""
+        """End an attempt whose caller has disconnected."""
         await self._end(upstream, AttemptOutcome.CANCELLED)
 
     def complete(self, upstream: Upstream, *, tokens: int = 0) -> None:
-        """End an attempt whose answer is whole."""
+        """End an attempt whose answer is complete."""
         upstream.finish(AttemptOutcome.COMPLETED, tokens=tokens)
         self._release_trial()
         self.verdict = Verdict.RAN
-        if isinstance(upstream.place, ToEndpointPlace):
-            self._parts.quarantine.note_completed(self.request.fingerprint)
-        self._parts.timeline.record(
+        if isinstance(upstream.target, EndpointTarget):
+            self._services.quarantine.note_completed(self.request.fingerprint)
+        self._services.timeline.record(
             "request.answered", request_id=self.request.request_id
         )
 
     async def _open_once(self) -> Upstream | None:
         if self.remaining() <= 0:
-            raise _refuse_late()
-        self._parts.quarantine.check(self.request.fingerprint)
+            raise _refuse_past_deadline()
+        self._services.quarantine.check(self.request.fingerprint)
         demand = self.make_demand()
-        match self._parts.router.choose(demand):
+        match self._services.router.choose(demand):
             case ToEndpoint(endpoint=endpoint):
-                self._check_region(self._parts.identity.region, demand)
+                self._check_region(self._services.identity.region, demand)
                 return await self._open_endpoint(endpoint, demand)
             case ToDataCentre() as choice:
                 return await self._open_forward(choice, demand)
             case Nowhere() as nowhere:
-                return await self._wait_for_room(nowhere)
+                return await self._retry_excluded(nowhere)
 
     async def _open_endpoint(
         self, endpoint: Endpoint, demand: Demand
     ) -> Upstream | None:
         if demand.isolated:
-            self._trial = await self._parts.quarantine.begin_trial(
+            self._trial = await self._services.quarantine.begin_trial(
                 self.request.fingerprint, endpoint.endpoint_id
             )
             if self._trial is None:
-                await self._parts.clock.sleep(TRIAL_PAUSE_SECONDS)
+                await self._services.clock.sleep(TRIAL_POLL_SECONDS)
                 return None
-        attempt = self._parts.router.begin(endpoint, demand)
+        attempt = self._services.router.begin(endpoint, demand)
         try:
-            upstream = await self._parts.opener.open_endpoint(
+            upstream = await self._services.opener.open_endpoint(
                 self.request,
                 endpoint,
                 attempt,
                 attempt_id=self._next_attempt_id(),
-                offset=self.delivered,
+                offset=self.delivered_tokens,
             )
         except AttemptFailed as failure:
             attempt.finish(failure.outcome)
             self._release_trial()
             self._excluded_endpoints |= {endpoint.endpoint_id}
             if failure.lost:
-                self._note_loss(endpoint)
+                self._report_loss(endpoint)
             raise
         except BaseException:
             attempt.finish(AttemptOutcome.CANCELLED)
@@ -215,21 +217,21 @@
         self, choice: ToDataCentre, demand: Demand
     ) -> Upstream | None:
         self._check_forward(choice, demand)
-        self._parts.meters.note_forward(choice.data_centre)
+        self._services.metrics.record_forward(choice.data_centre)
         failure: AttemptFailed | None = None
         for entry in choice.entries:
-            self._parts.timeline.record(
+            self._services.timeline.record(
                 "request.forwarded",
                 request_id=self.request.request_id,
                 to=entry.vm_id,
             )
             try:
-                upstream = await self._parts.opener.open_forward(
+                upstream = await self._services.opener.open_forward(
                     self.request,
                     entry,
                     attempt_id=self.request.request_id,
-                    offset=self.delivered,
-                    displaced=self._parts.router.is_displaced(demand),
+                    offset=self.delivered_tokens,
+                    displaced=self._services.router.is_displaced(demand),
                 )
                 if VERDICT_HEADER not in upstream.headers:
                     self.verdict = worst(self.verdict, Verdict.MAY_HAVE_RUN)
@@ -240,80 +242,80 @@
             except BaseException:
                 self.verdict = worst(self.verdict, Verdict.MAY_HAVE_RUN)
                 raise
-            if not _is_of_entry_alone(failure):
+            if not _is_entry_specific(failure):
                 break
-        assert failure is not None, "a choice without entries"
-        if _has_no_room(failure):
-            await self._wait_again(choice.data_centre)
+        assert failure is not None, "ToDataCentre without entry VMs"
+        if _is_overloaded(failure):
+            await self._requeue(choice.data_centre)
             return None
         self._excluded_data_centres |= {choice.data_centre}
         raise failure
 
-    async def _wait_again(self, data_centre: str) -> None:
-        """Go back to the line after a data centre turned out to be full.
+    async def _requeue(self, data_centre: str) -> None:
+        """Queue the request again after a data centre refused it as full.
 
-        Sent on at once to whatever is left, the request would get past
-        those who wait, into the queue of an engine that has no room.
+        Retrying elsewhere at once would overtake the queued requests and
+        fill the queue of an overloaded engine.
         """
-        self._parts.router.note_forward_refused(data_centre)
-        await self._parts.admission.wait_again(
+        self._services.router.note_forward_refused(data_centre)
+        await self._services.admission.wait_again(
             self.request.client_id, self.make_demand()
         )
 
-    async def _wait_for_room(self, nowhere: Nowhere) -> Upstream:
-        refusal = _refuse_nowhere(nowhere, self._last)
+    async def _retry_excluded(self, nowhere: Nowhere) -> Upstream:
+        refusal = _refuse_unroutable(nowhere, self._last_refusal)
         tried = self._excluded_endpoints or self._excluded_data_centres
         if not tried:
             raise refusal
-        # Whatever failed may be back, and an answer that has begun is worth
-        # more than a new one: ask it once more rather than give up.
+        # Excluded targets may have recovered, so they are retried once more
+        # before the request is refused.
         self._excluded_endpoints = frozenset()
         self._excluded_data_centres = frozenset()
         raise AttemptFailed(refusal, outcome=AttemptOutcome.REFUSED)
 
-    async def _weigh(self, failure: AttemptFailed) -> None:
+    async def _handle_failure(self, failure: AttemptFailed) -> None:
         refusal = failure.refusal
         self.verdict = worst(self.verdict, refusal.verdict)
-        self._last = refusal
-        self._parts.meters.note_failure(refusal)
+        self._last_refusal = refusal
+        self._services.metrics.record_failure(refusal)
         self._attempts += 1
-        self._parts.timeline.record(
+        self._services.timeline.record(
             "request.attempt_failed",
             request_id=self.request.request_id,
             code=refusal.code.value,
             attempt=self._attempts,
         )
         if self.remaining() <= 0:
-            raise self._admit(_refuse_late())
+            raise self._admit(_refuse_past_deadline())
         if failure.final or self._attempts >= MAX_ATTEMPTS:
             raise self._admit(refusal)
         if refusal.verdict is not Verdict.NOT_RUN:
             self._check_may_run_again(refusal, failure)
-        pause = BACKOFF_SECONDS * (self._attempts - 1)
-        if self.remaining() <= pause:
+        backoff = BACKOFF_STEP_SECONDS * (self._attempts - 1)
+        if self.remaining() <= backoff:
             raise self._admit(refusal)
-        if pause:
-            await self._parts.clock.sleep(pause)
+        if backoff:
+            await self._services.clock.sleep(backoff)
 
     def _check_may_run_again(
         self, refusal: Refusal, failure: AttemptFailed
     ) -> None:
         if not self.request.may_run_again:
             raise self._admit(refusal)
-        # Those that were in the batch of a crashing request pay nothing:
-        # else the innocent would fail once the budget is used up.
+        # Lost connections don't count against the budget: one request that
+        # crashes an engine would exhaust it for all others in its batch.
         if failure.lost:
             return
-        if not self._parts.budget.spend():
+        if not self._services.budget.try_withdraw():
             raise self._admit(refusal)
 
     def _check_region(self, region: str, demand: Demand) -> None:
-        # Routing chooses within the bounds; this is the last check before
-        # data leaves, in case it ever does not.
+        # Routing selects within the residency already. This last check
+        # guards against an error there before data leaves the region.
         if region not in demand.regions:
             raise Refusal(
                 code=RefusalCode.RESIDENCY,
-                message=f"{region!r} is outside of the client's residency",
+                message=f"region {region!r} is not in the client's residency",
                 verdict=Verdict.NOT_RUN,
             )
 
@@ -324,7 +326,7 @@
         if len(hops) >= MAX_FORWARDS or choice.data_centre in hops:
             raise Refusal(
                 code=RefusalCode.LOOP,
-                message=f"passed on too often: {', '.join(hops)}",
+                message=f"too many hops: {', '.join(hops)}",
                 verdict=Verdict.NOT_RUN,
                 retry_after=1.0,
             )
@@ -333,20 +335,20 @@
         return refusal.with_verdict(worst(self.verdict, refusal.verdict))
 
     def _exclude(self, upstream: Upstream) -> None:
-        match upstream.place:
-            case ToEndpointPlace(endpoint=endpoint):
+        match upstream.target:
+            case EndpointTarget(endpoint=endpoint):
                 self._excluded_endpoints |= {endpoint.endpoint_id}
-            case ToDataCentrePlace(data_centre=data_centre):
+            case DataCentreTarget(data_centre=data_centre):
                 self._excluded_data_centres |= {data_centre}
 
     async def _end(self, upstream: Upstream, outcome: AttemptOutcome) -> None:
         upstream.finish(outcome)
         self._release_trial()
-        self._parts.opener.cancel(self.request, upstream)
+        self._services.opener.cancel(self.request, upstream)
         await upstream.close()
 
-    def _note_loss(self, endpoint: Endpoint) -> None:
-        self._parts.quarantine.note_loss(self.request.fingerprint, endpoint)
+    def _report_loss(self, endpoint: Endpoint) -> None:
+        self._services.quarantine.note_loss(self.request.fingerprint, endpoint)
 
     def _release_trial(self) -> None:
         if self._trial is not None:
@@ -354,12 +356,15 @@
             self._trial = None
 
     def _next_attempt_id(self) -> str:
-        """Return an id by which a late answer of an earlier attempt shows."""
+        """Return an id that differs between attempts.
+
+        It identifies a delayed answer to an earlier attempt.
+        """
         path = f"{len(self.request.hops)}{self._attempts}"
-        return f"{self.request.request_id}.{path}.{self.delivered}"
+        return f"{self.request.request_id}.{path}.{self.delivered_tokens}"
 
 
-def _refuse_late() -> Refusal:
+def _refuse_past_deadline() -> Refusal:
     return Refusal(
         code=RefusalCode.DEADLINE,
         message="the deadline has passed",
@@ -367,23 +372,23 @@
     )
 
 
-def _is_of_entry_alone(failure: AttemptFailed) -> bool:
-    """Say whether another entry VM of the data centre may do better."""
+def _is_entry_specific(failure: AttemptFailed) -> bool:
+    """Return whether another entry VM of the data centre may succeed."""
     if failure.outcome is AttemptOutcome.UNREACHABLE:
         return True
-    return failure.refusal.code in _OF_ENTRY_ALONE
+    return failure.refusal.code in _ENTRY_SPECIFIC_CODES
 
 
-def _has_no_room(failure: AttemptFailed) -> bool:
+def _is_overloaded(failure: AttemptFailed) -> bool:
     refusal = failure.refusal
     is_full = refusal.code is RefusalCode.OVERLOADED
     return is_full and refusal.verdict is Verdict.NOT_RUN
 
 
-def _refuse_nowhere(nowhere: Nowhere, last: Refusal | None) -> Refusal:
+def _refuse_unroutable(nowhere: Nowhere, last: Refusal | None) -> Refusal:
     code = RefusalCode.OVERLOADED
     if last is not None:
-        # What failed before says more than that nothing else is left.
+        # The last failure is more specific than the lack of alternatives.
         code = last.code
     elif nowhere.loop:
         code = RefusalCode.LOOP
--- a/burdockdrum/requests/forwarding.py
+++ b/burdockdrum/requests/forwarding.py
@@ -1,4 +1,4 @@
-"""What travels with a request that is passed to another data centre."""
+"""The authenticated header of a request forwarded to another data centre."""
 
 import base64
 import hashlib
@@ -13,9 +13,10 @@
 
 
 class ForwardHeader(msgspec.Struct, frozen=True, kw_only=True):
-    """All of a request but its body.
+    """All properties of a request except its body.
 
-    Deadlines travel as seconds remaining: two VMs' clocks don't compare.
+    The deadline is sent as remaining seconds, because monotonic clocks of
+    different VMs are not comparable.
     """
 
     request_id: str
@@ -50,10 +51,10 @@
         displaced: bool = False,
         resume_offset: int = 0,
     ) -> "ForwardHeader":
-        """Describe a request that leaves a data centre now.
+        """Create the header of a request that is forwarded now.
 
-        :param displaced: whether no endpoint of the data centre may run it
-        :param resume_offset: how many tokens the caller has already
+        :param displaced: whether the data centre has no endpoint for it
+        :param resume_offset: number of tokens already sent to the caller
         """
         return cls(
             request_id=request.request_id,
@@ -80,7 +81,7 @@
         )
 
     def to_request(self, body: bytes, *, now: float) -> InboundRequest:
-        """Rebuild the request where it arrives."""
+        """Rebuild the request at the receiving entry VM."""
         return InboundRequest(
             request_id=self.request_id,
             client_id=self.client_id,
@@ -114,14 +115,14 @@
 
 
 def seal_header(seal: Seal, header: ForwardHeader, body: bytes) -> str:
-    """Encode a header so that only holders of the secret could have."""
+    """Encode and authenticate a header and the digest of its body."""
     sealed = _Sealed(_digest(body), header)
     payload = seal.close(msgspec.msgpack.encode(sealed))
     return base64.urlsafe_b64encode(payload).decode()
 
 
 def open_header(seal: Seal, text: str, body: bytes) -> ForwardHeader | None:
-    """Decode a header, or return None if it or the body was tampered with."""
+    """Decode a header; return None if it or the body is not authentic."""
     try:
         payload = seal.open(base64.urlsafe_b64decode(text))
         if payload is None:
--- a/burdockdrum/requests/meters.py
+++ b/burdockdrum/requests/meters.py
@@ -1,28 +1,28 @@
-"""What an entry VM counts of the requests it serves."""
+"""Metrics of the requests that an entry VM handles."""
 
 from burdockdrum.metrics import Metrics
 from burdockdrum.ports import Clock
 from burdockdrum.verdicts import Refusal
 
-UNCLASSED = "none"
+NO_PRIORITY_CLASS = "none"
 
 
-class RequestMeters:
-    """The counters and latencies that operators watch.
+class RequestMetrics:
+    """Counters and latency histograms of requests.
 
-    A request that was passed on is counted by both entry VMs: the label
-    ``way`` tells those of callers from those of other entry VMs.
+    A forwarded request is counted by both entry VMs. The label ``way`` is
+    "caller" for requests of callers and "forward" for forwarded ones.
     """
 
     def __init__(self, *, metrics: Metrics) -> None:
-        """Name the metrics."""
+        """Register the metrics."""
         self._answers = metrics.counter(
             "burdockdrum_answers_total", "Whole answers, by way."
         )
         self._refusals = metrics.counter(
             "burdockdrum_refusals_total", "Refusals, by code and verdict."
         )
-        self._cut = metrics.counter(
+        self._incomplete_streams = metrics.counter(
             "burdockdrum_streams_cut_total",
             "Streams that ended without being whole, the caller's going "
             "included.",
@@ -35,75 +35,75 @@
             "burdockdrum_forwards_total",
             "Requests passed on, by data centre.",
         )
-        self._first = metrics.histogram(
+        self._first_part_seconds = metrics.histogram(
             "burdockdrum_first_part_seconds",
             "Until the first part of an answer, by priority class.",
         )
-        self._whole = metrics.histogram(
+        self._answer_seconds = metrics.histogram(
             "burdockdrum_answer_seconds",
             "Until the end of an answer, by priority class.",
         )
 
-    def note_first_part(self, priority_class: str, seconds: float) -> None:
-        """Note that an answer has begun."""
-        self._first.record(seconds, priority_class=priority_class)
+    def record_first_part(self, priority_class: str, seconds: float) -> None:
+        """Record the first part of an answer."""
+        self._first_part_seconds.record(seconds, priority_class=priority_class)
 
-    def note_answer(
+    def record_answer(
         self, priority_class: str, seconds: float, *, forwarded: bool
     ) -> None:
-        """Note a whole answer."""
-        self._whole.record(seconds, priority_class=priority_class)
+        """Record a complete answer."""
+        self._answer_seconds.record(seconds, priority_class=priority_class)
         self._answers.increment(way="forward" if forwarded else "caller")
 
-    def note_refusal(self, refusal: Refusal) -> None:
-        """Note a request that got a refusal in place of an answer."""
+    def record_refusal(self, refusal: Refusal) -> None:
+        """Record a refused request."""
         self._refusals.increment(
             code=refusal.code.value, verdict=refusal.verdict.value
         )
 
-    def note_cut(self) -> None:
-        """Note a stream that ended before it was whole."""
-        self._cut.increment()
+    def record_incomplete_stream(self) -> None:
+        """Record a stream that ended before it was complete."""
+        self._incomplete_streams.increment()
 
-    def note_failure(self, refusal: Refusal) -> None:
-        """Note an attempt that failed."""
+    def record_failure(self, refusal: Refusal) -> None:
+        """Record a failed attempt."""
         self._failures.increment(code=refusal.code.value)
 
-    def note_forward(self, data_centre: str) -> None:
-        """Note a request that another data centre is asked to serve."""
+    def record_forward(self, data_centre: str) -> None:
+        """Record a request forwarded to another data centre."""
         self._forwards.increment(data_centre=data_centre)
 
 
-class AnswerMeter:
-    """The time that one answer takes."""
+class AnswerTimer:
+    """Measures the duration of one answer."""
 
     def __init__(
         self,
         *,
-        meters: RequestMeters,
+        metrics: RequestMetrics,
         clock: Clock,
         received_at: float,
         priority_class: str,
         forwarded: bool,
     ) -> None:
-        """Note that the answer has begun.
+        """Record the first part of the answer.
 
-        :param received_at: when its request came, on the clock
+        :param received_at: arrival of the request, on the clock
         """
-        self._meters = meters
+        self._metrics = metrics
         self._clock = clock
         self._received_at = received_at
         self._priority_class = priority_class
         self._forwarded = forwarded
         seconds = clock.monotonic() - received_at
-        meters.note_first_part(priority_class, seconds)
+        metrics.record_first_part(priority_class, seconds)
 
-    def end(self, *, whole: bool) -> None:
-        """Note the end of the answer, which may have come too early."""
-        if not whole:
-            self._meters.note_cut()
+    def end(self, *, complete: bool) -> None:
+        """Record the end of the answer, which may be incomplete."""
+        if not complete:
+            self._metrics.record_incomplete_stream()
             return
-        self._meters.note_answer(
+        self._metrics.record_answer(
             self._priority_class,
             self._clock.monotonic() - self._received_at,
             forwarded=self._forwarded,
--- a/burdockdrum/requests/model.py
+++ b/burdockdrum/requests/model.py
@@ -1,4 +1,4 @@
-"""A request as it came in, and the answer that goes out."""
+"""The data of a received request and of the answer to it."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Mapping
@@ -6,12 +6,12 @@
 from dataclasses import field
 import enum
 
-# RFC 9110, section 9.2.2: what may be sent again without asking.
+# RFC 9110, section 9.2.2.
 _IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
 
 
 class RequestKind(enum.Enum):
-    """How the answer of a request is framed and completed."""
+    """The kind of a request, which determines the format of its answer."""
 
     CHAT = "chat"
     COMPLETION = "completion"
@@ -20,13 +20,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class InboundRequest:
-    """A caller's request after its form was checked.
+    """A validated request.
 
     ``deadline`` and ``received_at`` are on this VM's monotonic clock in
-    seconds. ``hops`` names the data centres that have passed it on, oldest
-    first. ``prefix_hashes`` names growing prefixes of the prompt.
-    ``resume_offset`` is how many tokens the caller has already.
-    ``headers`` are those that a plain service may need.
+    seconds. ``hops`` lists the data centres that have forwarded it, oldest
+    first. ``prefix_hashes`` are the hashes of the prompt's prefixes,
+    shortest first. ``resume_offset`` is the number of tokens already sent to
+    the caller. ``headers`` are forwarded to the endpoint.
     """
 
     request_id: str
@@ -55,11 +55,11 @@
 
     @property
     def may_run_again(self) -> bool:
-        """Say whether the gateway may run it again after it may have run.
+        """Return whether a request that may have run can be retried.
 
-        A completion only computes. A call of a plain service that is not
-        idempotent by its method is repeated only under a key by which the
-        service itself can tell the copies.
+        Completions have no side effects. A call of a plain service must have
+        an idempotent method, or an idempotency key by which the service
+        itself recognizes duplicates.
         """
         if self.unrepeatable:
             return False
@@ -72,9 +72,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Answer:
-    """The head of an answer and the stream of its body.
+    """The head of an answer and its body.
 
-    The stream ends cleanly only when the answer is complete.
+    The stream of a body ends without an error only if it is complete.
     """
 
     status: int
--- a/burdockdrum/requests/residency.py
+++ b/burdockdrum/requests/residency.py
@@ -1,4 +1,4 @@
-"""Where a request may run, by the configuration in force."""
+"""The regions in which a request may run, by the current configuration."""
 
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.requests.model import InboundRequest
@@ -12,10 +12,10 @@
 ) -> frozenset[str]:
     """Return the regions that residency and the service allow now.
 
-    It is asked again before every attempt, so that a change which tightens
-    residency binds the retries and resumes of requests already running.
+    This is checked before every attempt, so that a stricter residency also
+    applies to retries and resumes of running requests.
 
-    :raises Refusal: if there is none, or client or service is unknown
+    :raises Refusal: if no region is allowed, or client or service is unknown
     """
     allowed = configuration.allowed_regions(request.client_id, request.service)
     if not allowed:
--- a/burdockdrum/requests/service.py
+++ b/burdockdrum/requests/service.py
@@ -1,4 +1,4 @@
-"""Serve a request: claim, admit, attempt, relay the answer."""
+"""The request service, which claims, admits and attempts each request."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -8,10 +8,10 @@
 from burdockdrum.claims import Claims
 from burdockdrum.claims import StoredAnswer
 from burdockdrum.requests.exchange import Exchange
-from burdockdrum.requests.exchange import ExchangeParts
+from burdockdrum.requests.exchange import ExchangeServices
 from burdockdrum.requests.exchange import MAX_FORWARDS
-from burdockdrum.requests.meters import AnswerMeter
-from burdockdrum.requests.meters import UNCLASSED
+from burdockdrum.requests.meters import AnswerTimer
+from burdockdrum.requests.meters import NO_PRIORITY_CLASS
 from burdockdrum.requests.model import Answer
 from burdockdrum.requests.model import InboundRequest
 from burdockdrum.requests.model import RequestKind
@@ -22,29 +22,29 @@
 from burdockdrum.verdicts import Verdict
 from burdockdrum.vms import Drain
 
-# Tells a caller that this is the answer of an earlier run.
+# Marks the stored answer of an earlier run.
 REPLAY_HEADER = "idempotent-replay"
-KNOWN_WAIT_SECONDS = 3.0
+CONFIGURATION_WAIT_SECONDS = 3.0
 
 
 class RequestService:
-    """Give each accepted request one complete answer or a refusal."""
+    """Returns one complete answer or a refusal for each request."""
 
     def __init__(
-        self, *, parts: ExchangeParts, claims: Claims, drain: Drain
+        self, *, services: ExchangeServices, claims: Claims, drain: Drain
     ) -> None:
         """Create the service."""
-        self._parts = parts
+        self._services = services
         self._claims = claims
         self._drain = drain
         self._unrepeatable: set[asyncio.Task[Answer]] = set()
 
     async def handle(self, request: InboundRequest) -> Answer:
-        """Serve a request.
+        """Handle a request.
 
         :raises Refusal: with the verdict, if there is no answer
         """
-        self._parts.timeline.record(
+        self._services.timeline.record(
             "request.received",
             request_id=request.request_id,
             service=request.service,
@@ -52,55 +52,55 @@
         try:
             return await self._handle(request)
         except Refusal as refusal:
-            self._parts.meters.note_refusal(refusal)
+            self._services.metrics.record_refusal(refusal)
             raise
 
     async def _handle(self, request: InboundRequest) -> Answer:
         self._check_may_start(request)
-        await self._wait_until_known(request)
-        self._parts.budget.earn()
+        await self._wait_for_configuration(request)
+        self._services.budget.deposit()
         if not request.unrepeatable:
             return await self._serve(request)
-        # The run of an unrepeatable request outlives its caller: cut off in
-        # the middle it could never be repeated, while a caller that comes
-        # back with the same key gets the answer.
+        # An unrepeatable request runs to its end even if its caller
+        # disconnects, because it could not be retried. A caller that sends
+        # the same key again gets the stored answer.
         task = asyncio.create_task(self._serve_once(request))
         self._unrepeatable.add(task)
-        task.add_done_callback(self._forget)
+        task.add_done_callback(self._discard_task)
         return await asyncio.shield(task)
 
     async def close(self) -> None:
-        """Stop what runs for callers that have gone."""
+        """Cancel the requests that run without a caller."""
         for task in self._unrepeatable:
             task.cancel()
         await asyncio.gather(*self._unrepeatable, return_exceptions=True)
-        await self._parts.opener.close()
+        await self._services.opener.close()
 
-    def _forget(self, task: asyncio.Task[Answer]) -> None:
+    def _discard_task(self, task: asyncio.Task[Answer]) -> None:
         self._unrepeatable.discard(task)
         if not task.cancelled():
-            # Its caller may have gone, and then nobody asks for the error.
+            # Retrieve the error, which the caller may no longer await.
             task.exception()
 
     async def _serve_once(self, request: InboundRequest) -> Answer:
-        # A drain waits for it also when its caller has gone.
+        # A drain waits for it even if its caller has disconnected.
         with self._drain.count_request():
             return await self._serve_claimed(request)
 
     async def _serve_claimed(self, request: InboundRequest) -> Answer:
         if request.hops:
-            # Whoever passed it on holds the claim and keeps the answer.
+            # The forwarding entry VM holds the claim and stores the answer.
             return await self._serve(request)
         claim = await self._claims.take(
             client_id=request.client_id,
             key=request.idempotency_key or "",
             fingerprint=request.fingerprint,
             owner=request.request_id,
-            seconds=request.deadline - self._parts.clock.monotonic(),
+            seconds=request.deadline - self._services.clock.monotonic(),
         )
         if isinstance(claim, StoredAnswer):
             return _replay(claim)
-        exchange = Exchange(parts=self._parts, request=request)
+        exchange = Exchange(services=self._services, request=request)
         try:
             answer = await self._run(exchange)
         except Refusal as refusal:
@@ -126,12 +126,14 @@
         )
 
     async def _serve(self, request: InboundRequest) -> Answer:
-        return await self._run(Exchange(parts=self._parts, request=request))
+        return await self._run(
+            Exchange(services=self._services, request=request)
+        )
 
     async def _run(self, exchange: Exchange) -> Answer:
         request = exchange.request
-        self._parts.quarantine.check(request.fingerprint)
-        permit = await self._parts.admission.admit(
+        self._services.quarantine.check(request.fingerprint)
+        permit = await self._services.admission.admit(
             request.client_id, exchange.make_demand()
         )
         try:
@@ -142,28 +144,28 @@
         except BaseException:
             permit.release(completed=False)
             raise
-        meter = self._begin_meter(request)
+        timer = self._start_timer(request)
         if isinstance(answer.body, bytes):
             permit.release(completed=True)
-            meter.end(whole=True)
+            timer.end(complete=True)
             return answer
         return Answer(
             status=answer.status,
             content_type=answer.content_type,
             headers=answer.headers,
-            body=_release_after(permit, exchange, meter, answer.body),
+            body=_release_after(permit, exchange, timer, answer.body),
         )
 
-    def _begin_meter(self, request: InboundRequest) -> AnswerMeter:
-        client = self._parts.configuration.current.clients_by_id.get(
+    def _start_timer(self, request: InboundRequest) -> AnswerTimer:
+        client = self._services.configuration.current.clients_by_id.get(
             request.client_id
         )
         own = client.priority_class if client else None
-        return AnswerMeter(
-            meters=self._parts.meters,
-            clock=self._parts.clock,
+        return AnswerTimer(
+            metrics=self._services.metrics,
+            clock=self._services.clock,
             received_at=request.received_at,
-            priority_class=request.priority_class or own or UNCLASSED,
+            priority_class=request.priority_class or own or NO_PRIORITY_CLASS,
             forwarded=bool(request.hops),
         )
 
@@ -174,27 +176,27 @@
         except Refusal as refusal:
             if not request.unrepeatable or request.hops:
                 raise
-            # The keepers were not asked: an earlier copy may have run.
+            # The claims were not queried: an earlier copy may have run.
             raise refusal.with_verdict(Verdict.MAY_HAVE_RUN) from None
 
-    async def _wait_until_known(self, request: InboundRequest) -> None:
-        """Hold a request while this VM learns what to serve by.
+    async def _wait_for_configuration(self, request: InboundRequest) -> None:
+        """Wait until this VM knows that its configuration is current.
 
-        A VM that has just started is on callers' lists a moment before it
-        knows that its configuration is the newest. Refused at once, their
-        requests would fail at each replacement of an entry VM.
+        Callers may discover a VM that has just started before it has a
+        current configuration. Refusing their requests would make requests
+        fail whenever an entry VM is replaced.
         """
-        left = request.deadline - self._parts.clock.monotonic()
-        seconds = min(KNOWN_WAIT_SECONDS, left)
-        await self._parts.configuration.wait_until_known(seconds)
+        remaining = request.deadline - self._services.clock.monotonic()
+        seconds = min(CONFIGURATION_WAIT_SECONDS, remaining)
+        await self._services.configuration.wait_until_known(seconds)
 
     def _check_hops(self, request: InboundRequest) -> None:
         hops = request.hops
-        own = self._parts.identity.data_centre
+        own = self._services.identity.data_centre
         if len(hops) > MAX_FORWARDS or own in hops:
             raise Refusal(
                 code=RefusalCode.LOOP,
-                message=f"came back to {own!r}, or was passed on too often: "
+                message=f"forwarding loop at {own!r}, or too many hops: "
                 + ", ".join(hops),
                 verdict=Verdict.NOT_RUN,
                 retry_after=1.0,
@@ -204,7 +206,7 @@
 async def _release_after(
     permit: Permit,
     exchange: Exchange,
-    meter: AnswerMeter,
+    timer: AnswerTimer,
     body: AsyncIterator[bytes],
 ) -> AsyncIterator[bytes]:
     try:
@@ -212,9 +214,9 @@
             yield part
     finally:
         await _close(body)
-        whole = exchange.verdict is Verdict.RAN
-        permit.release(completed=whole, tokens=exchange.delivered)
-        meter.end(whole=whole)
+        complete = exchange.verdict is Verdict.RAN
+        permit.release(completed=complete, tokens=exchange.delivered_tokens)
+        timer.end(complete=complete)
 
 
 async def _settle_after(
--- a/burdockdrum/requests/services.py
+++ b/burdockdrum/requests/services.py
@@ -1,4 +1,4 @@
-"""Name the services of this package."""
+"""Registration of this package's services in the kernel."""
 
 from burdockdrum.admission import Admission
 from burdockdrum.claims import Claims
@@ -11,10 +11,10 @@
 from burdockdrum.ports import HttpClient
 from burdockdrum.quarantine import Quarantine
 from burdockdrum.requests.budget import RetryBudget
-from burdockdrum.requests.exchange import ExchangeParts
-from burdockdrum.requests.meters import RequestMeters
+from burdockdrum.requests.exchange import ExchangeServices
+from burdockdrum.requests.meters import RequestMetrics
 from burdockdrum.requests.service import RequestService
-from burdockdrum.requests.upstreams import SilenceLimits
+from burdockdrum.requests.upstreams import IdleTimeouts
 from burdockdrum.requests.upstreams import UpstreamOpener
 from burdockdrum.routing import Router
 from burdockdrum.settings import Settings
@@ -23,7 +23,7 @@
 
 
 def add_services(kernel: Kernel) -> None:
-    """Name the service that gives answers."""
+    """Register the request service."""
     kernel.add("requests", _build_requests)
 
 
@@ -36,12 +36,12 @@
         clock=clock,
         seal=kernel.find("seal", Seal),
         data_centre=identity.data_centre,
-        limits=SilenceLimits(
+        timeouts=IdleTimeouts(
             first_token=attempts.first_token_seconds,
             between_tokens=attempts.between_tokens_seconds,
         ),
     )
-    parts = ExchangeParts(
+    services = ExchangeServices(
         clock=clock,
         timeline=kernel.find("timeline", Timeline),
         configuration=kernel.find("configuration", ConfigurationService),
@@ -51,10 +51,10 @@
         budget=RetryBudget(),
         quarantine=kernel.find("quarantine", Quarantine),
         identity=identity,
-        meters=RequestMeters(metrics=kernel.find("metrics", Metrics)),
+        metrics=RequestMetrics(metrics=kernel.find("metrics", Metrics)),
     )
     return RequestService(
-        parts=parts,
+        services=services,
         claims=kernel.find("claims", Claims),
         drain=kernel.find("drain", Drain),
     )
--- a/burdockdrum/requests/silence.py
+++ b/burdockdrum/requests/silence.py
@@ -1,46 +1,50 @@
-"""End a wait that takes too long, cheaply for many short waits.
+"""An idle timeout that is cheap for many short waits.
 
-``asyncio.timeout`` sets and cancels a timer each time, 10 µs of processor
-time; a stream waits once a token. Here one timer is set and, when it goes
-off while there has been progress, set again.
+A stream waits once per token, and ``asyncio.timeout`` would set and cancel a
+timer each time. Here one timer is reused: if it fires after there has been
+progress, it is set again.
 """
 
 import asyncio
 
 
-class SilenceTimer:
-    """Cancel the task that waits when its wait is over the limit."""
+class IdleTimer:
+    """Cancels a waiting task when its wait exceeds the timeout."""
 
     def __init__(self) -> None:
-        """Create a timer that is not set."""
+        """Create an inactive timer."""
         self._loop = asyncio.get_running_loop()
         self._waiting: asyncio.Task | None = None
-        self._until = 0.0
+        self._expires_at = 0.0
         self._expired = False
         self._timer: asyncio.TimerHandle | None = None
 
     def begin(self, seconds: float) -> None:
-        """Note that the current task begins to wait."""
-        self._until = self._loop.time() + seconds
+        """Start a wait of the current task."""
+        self._expires_at = self._loop.time() + seconds
         self._waiting = asyncio.current_task(self._loop)
         self._expired = False
         timer = self._timer
-        if timer is None or timer.when() > self._until:
+        if timer is None or timer.when() > self._expires_at:
             self._set()
 
     def end(self) -> None:
-        """Note that the wait is over."""
+        """End the wait."""
         self._waiting = None
 
     def absorb(self) -> bool:
-        """Say whether a cancellation is this timer's alone, and undo it."""
+        """Undo this timer's cancellation of the task.
+
+        :returns: False if the task was also cancelled by someone else, or
+            not by this timer
+        """
         if not self._expired or self._waiting is None:
             return False
         self._expired = False
         return self._waiting.uncancel() == 0
 
     def stop(self) -> None:
-        """Take the timer back."""
+        """Cancel the timer."""
         self._waiting = None
         if self._timer is not None:
             self._timer.cancel()
@@ -49,13 +53,13 @@
     def _set(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self._loop.call_at(self._until, self._check)
+        self._timer = self._loop.call_at(self._expires_at, self._check)
 
     def _check(self) -> None:
         self._timer = None
         if self._waiting is None:
             return
-        if self._loop.time() < self._until:
+        if self._loop.time() < self._expires_at:
             self._set()
             return
         self._expired = True
--- a/burdockdrum/requests/streamed.py
+++ b/burdockdrum/requests/streamed.py
@@ -1,12 +1,12 @@
-"""Streamed completions: relayed event by event, resumed where they break."""
+"""Relaying of streamed completions, with resumption after a failure."""
 
 from collections.abc import AsyncIterator
 
 from burdockdrum.requests.attempts import AttemptFailed
+from burdockdrum.requests.attempts import EndpointTarget
 from burdockdrum.requests.attempts import fail_incomplete
 from burdockdrum.requests.attempts import fail_status
 from burdockdrum.requests.attempts import RETRYABLE_STATUSES
-from burdockdrum.requests.attempts import ToEndpointPlace
 from burdockdrum.requests.attempts import Upstream
 from burdockdrum.requests.events import EventSplitter
 from burdockdrum.requests.events import EventTooLarge
@@ -26,12 +26,12 @@
 
 
 async def open_stream(exchange: Exchange) -> Answer:
-    """Return a stream whose first event has come.
+    """Return a stream whose first event has been received.
 
-    Until then nothing has gone out to the caller, so a failure can still
-    become another attempt or a refusal with its own status.
+    Until then nothing is sent to the caller, so a failure can still lead to
+    another attempt or to a refusal with its own status.
 
-    :raises Refusal: with the verdict, if no stream came
+    :raises Refusal: with the verdict, if no attempt succeeds
     """
     while True:
         upstream = await exchange.open()
@@ -61,9 +61,9 @@
 async def _relay(
     exchange: Exchange, relay: "StreamRelay", part: bytes
 ) -> AsyncIterator[bytes]:
-    """Yield the events; a clean end comes only after the marker.
+    """Yield the events up to the terminal marker.
 
-    After a failure that can't be mended the last event says so.
+    If the stream can't be completed, the last event is an error event.
     """
     finished = False
     try:
@@ -90,12 +90,12 @@
 async def _resume(
     exchange: Exchange, relay: "StreamRelay", failure: AttemptFailed
 ) -> "StreamRelay":
-    """Open an attempt that goes on where the last one broke.
+    """Open an attempt that resumes the stream after the delivered tokens.
 
-    :raises Refusal: if there can't be one
+    :raises Refusal: if the stream can't be resumed
     """
     if not relay.resumable:
-        # An engine that does not number its tokens can't go on from one.
+        # Without offsets the engine can't resume the stream.
         failure.final = True
     await exchange.give_up(relay.upstream, failure)
     upstream = await exchange.open()
@@ -105,73 +105,77 @@
 
 
 class StreamRelay:
-    """The events of one attempt that the caller has not had yet."""
+    """Reads the events of one attempt that are new to the caller."""
 
     def __init__(
         self, *, exchange: Exchange, upstream: Upstream, resumed: bool = False
     ) -> None:
-        """Start at the head of an attempt's answer.
+        """Create a relay for an attempt's answer.
 
-        :param resumed: events up to the offset have gone out already
+        :param resumed: whether events up to the offset were sent already
         """
         self.upstream = upstream
         self.ended = False
         self.resumable = True
         self._exchange = exchange
         self._splitter = EventSplitter()
-        self._resumed = resumed or exchange.delivered > 0
-        self._own = upstream.attempt_id
-        self._shown = exchange.request.request_id.encode()
+        self._resumed = resumed or exchange.delivered_tokens > 0
+        self._attempt_id = upstream.attempt_id
+        self._request_id = exchange.request.request_id.encode()
 
     async def read(self) -> bytes:
         """Return the next new events, joined; they may end the stream.
 
-        :raises AttemptFailed: if the stream broke before its marker
+        :raises AttemptFailed: if the stream ends before its marker
         """
         while True:
             seconds = max(0.0, self._exchange.remaining())
             chunk = await self.upstream.read(seconds)
             if chunk is None:
-                # Closing without the marker is not an end, however clean.
+                # A clean close without the marker is not a complete answer.
                 raise fail_incomplete()
             try:
                 events = self._splitter.feed(chunk)
             except EventTooLarge as error:
                 raise fail_incomplete() from error
-            fresh = [event for event in events if self._take(event)]
-            if fresh:
-                return b"".join(fresh).replace(self._own, self._shown)
-
-    def _take(self, event: bytes) -> bool:
-        """Say whether an event is for the caller, and note its offset."""
+            new_events = [event for event in events if self._accept(event)]
+            if new_events:
+                return b"".join(new_events).replace(
+                    self._attempt_id, self._request_id
+                )
+
+    def _accept(self, event: bytes) -> bool:
+        """Process an event; return whether to send it to the caller."""
         if self.ended:
             return False
         if is_done(event):
             self.ended = True
-            tokens = self._exchange.delivered
+            tokens = self._exchange.delivered_tokens
             self._exchange.complete(self.upstream, tokens=tokens)
             return True
         if is_error(event):
             self._end_with_error()
             return True
-        self.upstream.check_owner(event)
+        self.upstream.check_request_id(event)
         offset = read_offset(event)
         if offset is None:
             self.resumable = self.resumable and not event.startswith(b"data:")
             return True
-        if offset > self._exchange.delivered:
-            self._exchange.delivered = offset
+        if offset > self._exchange.delivered_tokens:
+            self._exchange.delivered_tokens = offset
             return True
-        # A resumed stream may begin again with tokens that have gone out;
-        # only the event with the reason of the end repeats an offset.
+        # A resumed stream may repeat tokens that were sent already. Only the
+        # event with the finish reason has the offset of the one before it.
         return not (self._resumed and is_unfinished(event))
 
     def _end_with_error(self) -> None:
-        """End as the other entry VM did, which has made its own attempts.
+        """End the stream with the error event of another entry VM.
+
+        That entry VM has made its retries already.
 
-        :raises AttemptFailed: if it was an endpoint
+        :raises AttemptFailed: if the event is from an endpoint
         """
-        if isinstance(self.upstream.place, ToEndpointPlace):
+        if isinstance(self.upstream.target, EndpointTarget):
             raise fail_incomplete()
         self.ended = True
         self.upstream.finish(AttemptOutcome.FAILED)
--- a/burdockdrum/requests/upstreams.py
+++ b/burdockdrum/requests/upstreams.py
@@ -1,4 +1,4 @@
-"""Open attempts: the calls to endpoints and to other entry VMs."""
+"""The HTTP calls to endpoints and to other entry VMs."""
 
 import asyncio
 from dataclasses import dataclass
@@ -12,13 +12,13 @@
 from burdockdrum.ports import HttpClient
 from burdockdrum.ports import UpstreamCall
 from burdockdrum.requests.attempts import AttemptFailed
-from burdockdrum.requests.attempts import fail_lost
-from burdockdrum.requests.attempts import fail_silent
+from burdockdrum.requests.attempts import DataCentreTarget
+from burdockdrum.requests.attempts import EndpointTarget
+from burdockdrum.requests.attempts import fail_connection_lost
+from burdockdrum.requests.attempts import fail_timed_out
 from burdockdrum.requests.attempts import fail_unreachable
-from burdockdrum.requests.attempts import Place
 from burdockdrum.requests.attempts import REQUEST_ID_HEADER
-from burdockdrum.requests.attempts import ToDataCentrePlace
-from burdockdrum.requests.attempts import ToEndpointPlace
+from burdockdrum.requests.attempts import Target
 from burdockdrum.requests.attempts import Upstream
 from burdockdrum.requests.forwarding import FORWARD_HEADER
 from burdockdrum.requests.forwarding import ForwardHeader
@@ -29,23 +29,24 @@
 
 CONNECT_SECONDS = 1.0
 CANCEL_SECONDS = 2.0
-# The other entry VM notices silence at its endpoint first and retries there.
-FORWARD_PATIENCE = 2.0
-# Of a whole answer nothing comes before its end; so much of the time that is
-# left is given to an attempt that could be made again.
-WHOLE_SHARE = 0.5
+# Forwards get longer timeouts, so that the other entry VM detects an
+# unresponsive endpoint first and retries locally.
+FORWARD_TIMEOUT_FACTOR = 2.0
+# Answers that are not streamed send nothing before their end. An attempt that
+# could be retried gets this fraction of the remaining time.
+WHOLE_ANSWER_TIMEOUT_FRACTION = 0.5
 
 
 @dataclass(frozen=True, kw_only=True)
-class SilenceLimits:
-    """How long nothing may come, in seconds."""
+class IdleTimeouts:
+    """Idle timeouts of an answer, in seconds."""
 
     first_token: float = 15.0
     between_tokens: float = 10.0
 
 
 class UpstreamOpener:
-    """Open answers, and cancel what nobody waits for any more."""
+    """Opens upstream answers and cancels abandoned attempts."""
 
     def __init__(
         self,
@@ -54,15 +55,15 @@
         clock: Clock,
         seal: Seal,
         data_centre: str,
-        limits: SilenceLimits,
+        timeouts: IdleTimeouts,
     ) -> None:
-        """Create an opener for the VMs of a data centre."""
+        """Create an opener for a VM of the given data centre."""
         self._http = http
         self._clock = clock
         self._seal = seal
         self._data_centre = data_centre
-        self._limits = limits
-        self._cancels: set[asyncio.Task[None]] = set()
+        self._timeouts = timeouts
+        self._cancellations: set[asyncio.Task[None]] = set()
 
     async def open_endpoint(
         self,
@@ -75,7 +76,7 @@
     ) -> Upstream:
         """Send a request to an endpoint and wait for the answer's head.
 
-        :param offset: tokens that the caller has already
+        :param offset: number of tokens already sent to the caller
         :raises AttemptFailed: with the verdict on this attempt
         """
         remaining = request.deadline - self._clock.monotonic()
@@ -89,20 +90,22 @@
             headers["idempotency-key"] = request.idempotency_key
         if offset:
             headers["x-resume-offset"] = str(offset)
-        limit = self._first_limit(request, remaining)
+        head_timeout = self._first_part_timeout(request, remaining)
         call = UpstreamCall(
             method=request.method,
             url=endpoint.url + request.path,
             headers=headers,
             body=request.body,
             connect_timeout=min(CONNECT_SECONDS, remaining),
-            head_timeout=limit,
+            head_timeout=head_timeout,
         )
-        place = ToEndpointPlace(endpoint=endpoint, attempt=attempt)
-        silence = self._limits.between_tokens
+        target = EndpointTarget(endpoint=endpoint, attempt=attempt)
+        idle_timeout = self._timeouts.between_tokens
         if request.unrepeatable:
-            silence = remaining
-        return await self._open(call, place, attempt_id, limit, silence)
+            idle_timeout = remaining
+        return await self._open(
+            call, target, attempt_id, head_timeout, idle_timeout
+        )
 
     async def open_forward(
         self,
@@ -113,7 +116,7 @@
         offset: int,
         displaced: bool,
     ) -> Upstream:
-        """Pass a request on to an entry VM of another data centre.
+        """Forward a request to an entry VM of another data centre.
 
         :raises AttemptFailed: with the verdict on this attempt
         """
@@ -126,12 +129,16 @@
             displaced=displaced,
             resume_offset=offset,
         )
-        limit = remaining
-        silence = remaining
+        head_timeout = remaining
+        idle_timeout = remaining
         if not request.unrepeatable:
-            first = self._first_limit(request, remaining)
-            limit = min(remaining, first * FORWARD_PATIENCE)
-            silence = self._limits.between_tokens * FORWARD_PATIENCE
+            first_part_timeout = self._first_part_timeout(request, remaining)
+            head_timeout = min(
+                remaining, first_part_timeout * FORWARD_TIMEOUT_FACTOR
+            )
+            idle_timeout = (
+                self._timeouts.between_tokens * FORWARD_TIMEOUT_FACTOR
+            )
         call = UpstreamCall(
             method="POST",
             url=entry.http_address + "/v1/forward",
@@ -141,53 +148,59 @@
             },
             body=request.body,
             connect_timeout=min(CONNECT_SECONDS, remaining),
-            head_timeout=limit,
+            head_timeout=head_timeout,
         )
-        place = ToDataCentrePlace(
+        target = DataCentreTarget(
             data_centre=entry.data_centre, vm_id=entry.vm_id
         )
-        return await self._open(call, place, attempt_id, limit, silence)
+        return await self._open(
+            call, target, attempt_id, head_timeout, idle_timeout
+        )
 
     def cancel(self, request: InboundRequest, upstream: Upstream) -> None:
-        """Tell an engine that nobody waits for an attempt any more.
+        """Request an engine to cancel an abandoned attempt.
 
-        Closing the connection is not enough: an engine may not notice it
-        while it waits for a slot.
+        Closing the connection is not enough: an engine may not detect it
+        while the request is queued.
         """
         if request.kind is RequestKind.PLAIN:
             return
-        match upstream.place:
-            case ToEndpointPlace(endpoint=endpoint):
+        match upstream.target:
+            case EndpointTarget(endpoint=endpoint):
                 name = upstream.attempt_id.decode()
                 url = f"{endpoint.url}/v1/requests/{name}"
                 task = asyncio.create_task(self._send_cancel(url))
-                self._cancels.add(task)
-                task.add_done_callback(self._cancels.discard)
-            case ToDataCentrePlace():
-                # The other entry VM sees the connection close.
+                self._cancellations.add(task)
+                task.add_done_callback(self._cancellations.discard)
+            case DataCentreTarget():
+                # The other entry VM detects the closed connection.
                 pass
 
     async def close(self) -> None:
-        """Stop the cancels that are still on their way."""
-        for task in self._cancels:
+        """Stop the pending cancellation requests."""
+        for task in self._cancellations:
             task.cancel()
-        await asyncio.gather(*self._cancels, return_exceptions=True)
+        await asyncio.gather(*self._cancellations, return_exceptions=True)
 
-    def _first_limit(self, request: InboundRequest, remaining: float) -> float:
+    def _first_part_timeout(
+        self, request: InboundRequest, remaining: float
+    ) -> float:
         if request.unrepeatable:
             return remaining
-        limit = self._limits.first_token
+        head_timeout = self._timeouts.first_token
         if not request.stream:
-            limit = max(limit, remaining * WHOLE_SHARE)
-        return min(limit, remaining)
+            head_timeout = max(
+                head_timeout, remaining * WHOLE_ANSWER_TIMEOUT_FRACTION
+            )
+        return min(head_timeout, remaining)
 
     async def _open(
         self,
         call: UpstreamCall,
-        place: Place,
+        target: Target,
         attempt_id: str,
-        limit: float,
-        silence: float,
+        head_timeout: float,
+        idle_timeout: float,
     ) -> Upstream:
         started_at = self._clock.monotonic()
         try:
@@ -195,17 +208,19 @@
         except ConnectFailed as error:
             raise fail_unreachable(error) from error
         except AnswerLost as error:
-            # The port does not tell silence from a broken connection, but
-            # only the latter comes before the limit.
-            if self._clock.monotonic() - started_at >= limit:
-                raise fail_silent(f"no answer in {limit:.1f} s") from error
-            raise fail_lost(error) from error
+            # The HTTP port does not distinguish a timeout from a broken
+            # connection, but only the latter occurs before the limit.
+            if self._clock.monotonic() - started_at >= head_timeout:
+                raise fail_timed_out(
+                    f"no answer within {head_timeout:.1f} s"
+                ) from error
+            raise fail_connection_lost(error) from error
         try:
             return Upstream(
                 answer=answer,
-                place=place,
+                target=target,
                 attempt_id=attempt_id,
-                silence_seconds=silence,
+                idle_timeout=idle_timeout,
             )
         except AttemptFailed:
             await answer.close()
--- a/burdockdrum/requests/whole.py
+++ b/burdockdrum/requests/whole.py
@@ -1,9 +1,8 @@
-"""Answers that are read to their end before their head goes out.
+"""Answers that are buffered completely before their head is sent.
 
-Asking an engine for a stream in every case, and putting the answer together
-here, would show where a run has come to and let it be resumed. It would
-also mean to know every field of every engine's answer. So a whole answer is
-asked for as the caller asked; one that was cut is run again.
+An incomplete answer leads to another attempt. Requesting a stream from the
+engine instead would allow resumption, but rebuilding the answer would depend
+on every field of every engine's format.
 """
 
 from collections.abc import AsyncIterator
@@ -19,12 +18,12 @@
 from burdockdrum.requests.model import Answer
 from burdockdrum.requests.model import RequestKind
 
-# How much of a plain service's answer is held before its head goes out; a
-# failure until then is still another attempt, or a refusal of its own.
-PLAIN_HELD_BYTES = 256 * 1024
-# What says something of the answer itself. Headers of one connection, such
-# as Connection and Transfer-Encoding, must not be passed on (RFC 9110, 7.6).
-PASSED_HEADERS = (
+# Maximum part of a plain service's answer that is buffered before its head
+# is sent. A failure up to that point can still be retried or refused.
+PLAIN_BUFFER_BYTES = 256 * 1024
+# Headers of the answer itself. Hop-by-hop headers such as Connection and
+# Transfer-Encoding must not be forwarded (RFC 9110, section 7.6).
+FORWARDED_HEADERS = (
     "location",
     "etag",
     "cache-control",
@@ -39,9 +38,9 @@
 
 
 async def fetch_whole(exchange: Exchange) -> Answer:
-    """Return a whole answer.
+    """Make attempts until one returns a complete answer.
 
-    :raises Refusal: with the verdict, if none came
+    :raises Refusal: with the verdict, if no attempt succeeds
     """
     while True:
         upstream = await exchange.open()
@@ -55,33 +54,35 @@
 
 
 async def read_answer(exchange: Exchange, upstream: Upstream) -> Answer:
-    """Read the whole answer of one attempt.
+    """Read the answer of one attempt.
 
-    Of a plain service only the start of a large answer is held: many slow
-    readers of large answers would otherwise take up all memory. From then on
-    it goes out as it comes, and a cut is a cut for the caller too.
+    Only the start of a plain service's large answer is buffered, to bound
+    the memory used for slow readers. The rest is streamed; if it breaks, the
+    caller's connection is broken too.
 
     :raises AttemptFailed: if it is an error, breaks or is not complete
     """
     request = exchange.request
     if upstream.status in RETRYABLE_STATUSES:
-        _weigh_error(exchange, upstream)
+        _check_status(exchange, upstream)
     if request.kind is RequestKind.PLAIN:
         body, ended = await upstream.read_start(
-            exchange.remaining(), PLAIN_HELD_BYTES
+            exchange.remaining(), PLAIN_BUFFER_BYTES
         )
         if not ended:
-            return make_answer(upstream, _pass_on(exchange, upstream, body))
+            return make_answer(
+                upstream, _stream_rest(exchange, upstream, body)
+            )
     else:
         body = await upstream.read_whole(exchange.remaining())
         _check_complete(upstream, body)
-        own = upstream.attempt_id
-        body = body.replace(own, request.request_id.encode(), 1)
+        attempt_id = upstream.attempt_id
+        body = body.replace(attempt_id, request.request_id.encode(), 1)
     exchange.complete(upstream, tokens=request.max_tokens)
     return make_answer(upstream, body)
 
 
-async def _pass_on(
+async def _stream_rest(
     exchange: Exchange, upstream: Upstream, start: bytes
 ) -> AsyncIterator[bytes]:
     part: bytes | None = start
@@ -93,7 +94,7 @@
         finished = True
         exchange.complete(upstream)
     except AttemptFailed as failure:
-        # Ending in good form would make half an answer look whole.
+        # A clean end would make the incomplete answer look complete.
         raise ConnectionResetError(str(failure)) from failure
     finally:
         if not finished:
@@ -103,23 +104,23 @@
 def make_answer(
     upstream: Upstream, body: AsyncIterator[bytes] | bytes
 ) -> Answer:
-    """Return what the caller gets of an answer."""
+    """Return the answer for the caller, without hop-by-hop headers."""
     return Answer(
         status=upstream.status,
         content_type=upstream.headers.get("content-type", ""),
         headers={
             name: upstream.headers[name]
-            for name in PASSED_HEADERS
+            for name in FORWARDED_HEADERS
             if name in upstream.headers
         },
         body=body,
     )
 
 
-def _weigh_error(exchange: Exchange, upstream: Upstream) -> None:
-    """Try elsewhere after an error, or let a plain service's own go out.
+def _check_status(exchange: Exchange, upstream: Upstream) -> None:
+    """Decide whether an error status is retried or sent to the caller.
 
-    :raises AttemptFailed: if the error is not the service's last word
+    :raises AttemptFailed: if it is not sent to the caller
     """
     request = exchange.request
     failure = fail_status(upstream.status)
@@ -127,17 +128,17 @@
         raise failure
     if upstream.status == 500 or not request.may_run_again:
         return
-    if not exchange.may_try_elsewhere():
+    if not exchange.may_retry():
         return
     raise failure
 
 
 def _check_complete(upstream: Upstream, body: bytes) -> None:
-    upstream.check_owner(body)
+    upstream.check_request_id(body)
     if upstream.status >= 300:
         return
-    # The framing was whole; but a proxy before the engine may have put a
-    # good frame around half an answer.
+    # A proxy in front of the engine may have truncated the body and still
+    # framed it correctly.
     try:
         msgspec.json.decode(body)
     except msgspec.MsgspecError:
--- a/tests/requests/__init__.py
+++ b/tests/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of a request's life."""
+"""Tests of burdockdrum.requests."""
--- a/tests/requests/stack.py
+++ b/tests/requests/stack.py
@@ -1,4 +1,4 @@
-"""Whole VMs and scripted endpoints for the tests of a request's life."""
+"""Complete VMs and scripted endpoints for the tests of requests."""
 
 import asyncio
 import collections
@@ -44,13 +44,13 @@
 
 @dataclass(kw_only=True)
 class Endpoint:
-    """A scripted endpoint: it notes what it gets and fails as told.
+    """A scripted endpoint, which records its calls and injects faults.
 
-    ``crash_on`` is a content on which it dies in the middle of an answer,
-    with everything else that it runs. ``cut_after`` ends streams without
-    the marker after so many tokens, ``stall_after`` leaves them open and
-    sends nothing more, ``silent`` never answers. ``parts`` is the length
-    of a plain service's large body.
+    ``crash_on`` is a content on which it crashes during the answer and loses
+    all running requests. ``cut_after`` ends streams without the marker after
+    this number of tokens, ``stall_after`` stops sending but keeps them open,
+    ``silent`` never answers. ``parts`` is the number of 10 kB parts of a
+    plain service's large body.
     """
 
     name: str
@@ -79,7 +79,7 @@
     crashed: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def serve(self, call):
-        """Answer as the script says."""
+        """Answer a call as configured."""
         if call.method == "DELETE":
             self.cancelled.append(call.url.rpartition("/")[2])
             return FakeAnswer(status=204)
@@ -114,17 +114,17 @@
                 "connection": "keep-alive",
                 "etag": '"7"',
             },
-            body=self.large() if self.parts else self.body,
+            body=self.large_body() if self.parts else self.body,
         )
 
     def crash(self):
-        """Lose everything that runs."""
+        """Fail all running requests."""
         self.crashes += 1
         self.crashed.set()
         self.crashed = asyncio.Event()
 
-    async def large(self):
-        """Yield a large body, in parts of 10 kB."""
+    async def large_body(self):
+        """Yield a large body in parts of 10 kB."""
         for number in range(1, self.parts + 1):
             yield b"x" * 10_000
             self.parts_made = number
@@ -132,7 +132,7 @@
                 raise AnswerLost("reset by peer")
 
     async def stream(self, call, request_id):
-        """Yield the events from the offset asked for."""
+        """Yield the events from the requested offset."""
         start = int(call.headers.get("x-resume-offset", 0))
         crashed = self.crashed
         self.running += 1
@@ -169,7 +169,7 @@
 
 
 def read_text(body: bytes) -> str:
-    """Return the text of a stream's events."""
+    """Return the concatenated text of a stream's events."""
     text = ""
     for part in body.decode().split("\n\n"):
         for line in part.split("\n"):
@@ -179,27 +179,30 @@
 
 
 def find_number(vm: str) -> int:
-    """Return the number by which a VM's ports are told apart."""
+    """Return the number that a VM's ports are derived from."""
     return 10 * (ord(vm[0]) - ord("a")) + int(vm[1:])
 
 
 class Stack:
-    """A cluster with its operator, its endpoints and a caller."""
+    """A cluster with an operator, endpoints and a caller."""
 
     def __init__(
         self, *, seed: int = 1, keepers: tuple[str, ...] = ()
     ) -> None:
         """Create a stack without VMs.
 
-        :param keepers: VMs of the north that keep its claims
+        :param keepers: VMs of region "north" that store its claims
         """
         self.cluster = FakeCluster(seed=seed)
         self._keepers = keepers
         self._tasks: list[asyncio.Task] = []
-        self._ports = 3000
+        self._last_port = 3000
 
     def settings(self, vm: str):
-        """Return the settings of a VM, whose region its name begins with."""
+        """Return the settings of a VM.
+
+        The first letter of its name determines its region.
+        """
         number = find_number(vm)
         region = {"a": "north", "b": "south", "c": "west"}[vm[0]]
         more = ""
@@ -222,19 +225,19 @@
         )
 
     async def start(self, *vms: str) -> None:
-        """Start VMs and give them a configuration."""
+        """Start VMs and wait until they have formed a cluster."""
         for vm in vms:
             await self.start_vm(vm)
         await asyncio.sleep(3)
 
     async def start_vm(self, vm: str):
-        """Start a VM, or start it again."""
+        """Start or restart a VM."""
         return await self.cluster.start_vm(self.settings(vm))
 
     async def configure(
         self, *, residency=("north", "south"), client="crew", home="north"
     ):
-        """Put the resources that the tests use."""
+        """Create the resources that the tests use."""
         for region in ("north", "south", "west"):
             await self.put("region", region, {})
         regions = ["north", "south", "west"]
@@ -252,7 +255,7 @@
         await asyncio.sleep(3)
 
     async def put_client(self, *, residency, client="crew", home="north"):
-        """Put a client, or change it."""
+        """Create or replace a client."""
         await self.put(
             "client",
             client,
@@ -264,7 +267,7 @@
         )
 
     async def put(self, kind, name, spec):
-        """Put one resource, replacing what is there."""
+        """Create or replace one resource."""
         operator = self.client("operator")
         path = f"/v1/resources/{kind}/{name}"
         known = await operator.call("GET", path)
@@ -292,8 +295,8 @@
 
     async def add_endpoint(self, endpoint, *vms, service="planner"):
         """Announce an endpoint at VMs of its data centre."""
-        self._ports += 1
-        url = f"http://127.0.0.1:{self._ports}"
+        self._last_port += 1
+        url = f"http://127.0.0.1:{self._last_port}"
         self.cluster.web.serve(url, endpoint.name, endpoint.serve)
         endpoint.url = url
         announcer = Announcer(
@@ -332,7 +335,7 @@
         return await read_whole(answer)
 
     async def book(self, vm, key, *, content=b"{}", headers=None):
-        """Send an unrepeatable call and return status, verdict and body."""
+        """Send an unrepeatable call and return its result."""
         answer = await self.client("caller").open(
             self.url(vm),
             "POST",
@@ -343,7 +346,7 @@
         body = await self.read(answer)
         headers = answer.headers
         verdict = headers.get("x-verdict")
-        return Booked(answer.status, verdict, body, headers)
+        return BookingResult(answer.status, verdict, body, headers)
 
     async def stop(self):
         """Stop everything."""
@@ -353,8 +356,8 @@
 
 
 @dataclass(frozen=True)
-class Booked:
-    """How an unrepeatable call ended."""
+class BookingResult:
+    """The result of an unrepeatable call."""
 
     status: int
     verdict: str | None
@@ -363,5 +366,5 @@
 
     @property
     def code(self) -> str:
-        """Return the code of the refusal."""
+        """Return the error code of the refusal."""
         return msgspec.json.decode(self.body)["error"]["code"]
--- a/tests/requests/test_forwarding.py
+++ b/tests/requests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Residency, loops and refusals between data centres."""
+"""Tests of forwarding between data centres: residency, loops, refusals."""
 
 import asyncio
 import unittest
@@ -33,7 +33,7 @@
 
 
 async def forward(stack, vm, *, hops, client="crew", service="planner"):
-    """Send a sealed forward as another entry VM would."""
+    """Send an authenticated forward, as another entry VM would."""
     body = msgspec.json.encode(
         {"model": service, "prompt": "hello", "max_tokens": 6, "stream": True}
     )
@@ -69,11 +69,11 @@
 
 
 class ResidencyTest(unittest.TestCase):
-    """HARD CASE 10: nothing runs outside of the client's regions."""
+    """HARD CASE 10: no request runs outside the client's residency."""
 
-    def test_forward_is_checked_again_by_its_receiver(self):
-        # An entry with an old view passes a request on to the west, where
-        # the client's data must not be. The west refuses by itself.
+    def test_receiver_checks_the_residency_of_a_forward(self):
+        # An entry VM with an outdated configuration may forward a request to
+        # a region outside the residency.
         async def scenario(stack):
             engine = Endpoint(name="e1")
             await stack.add_endpoint(engine, "c1")
@@ -96,8 +96,8 @@
 
         run_with_stack(scenario, "a1", "b1")
 
-    def test_every_permitted_region_down_is_a_refusal(self):
-        # The only engines are in the west, outside of the residency.
+    def test_request_is_refused_if_all_permitted_regions_are_down(self):
+        # The only endpoint is outside the residency.
         async def scenario(stack):
             engine = Endpoint(name="e1")
             await stack.add_endpoint(engine, "c1")
@@ -109,10 +109,9 @@
 
         run_with_stack(scenario, "a1", "c1")
 
-    def test_tightened_residency_binds_the_resume(self):
-        # A stream runs in the south when the south is taken out of the
-        # client's residency, and then it breaks. It must not be resumed
-        # there, though that is the only place that could.
+    def test_stricter_residency_applies_to_the_resume(self):
+        # A stream breaks after its region was removed from the residency. It
+        # must not be resumed there.
         async def scenario(stack):
             engine = Endpoint(name="e1", token_seconds=3.0, cut_after=3)
             await stack.add_endpoint(engine, "b1")
@@ -130,11 +129,11 @@
 
 
 class LoopTest(unittest.TestCase):
-    """HARD CASE 11: a request is passed on a fixed number of times."""
+    """HARD CASE 11: the number of hops of a request is limited."""
 
-    def test_request_that_came_back_is_refused(self):
-        # Though an engine here could run it: whoever sent it back has a
-        # wrong view, and the first to pass it on still waits.
+    def test_request_that_returns_to_its_origin_is_refused(self):
+        # It is refused even if an endpoint here could run it, because the
+        # first forward is still in progress.
         async def scenario(stack):
             engine = await stack.add_endpoint(Endpoint(name="e1"), "a1")
             answer, body = await forward(stack, "a1", hops=["north", "south"])
@@ -144,7 +143,7 @@
 
         run_with_stack(scenario, "a1", "b1")
 
-    def test_request_passed_on_too_often_is_refused(self):
+    def test_request_with_too_many_hops_is_refused(self):
         async def scenario(stack):
             hops = ["south", "west", "east"]
             answer, body = await forward(stack, "a1", hops=hops)
@@ -152,10 +151,9 @@
 
         run_with_stack(scenario, "a1", "b1")
 
-    def test_stale_views_end_in_one_refusal(self):
-        # The engines of the south have just died, and the north does not
-        # know: it passes the request on. The south must not send it back,
-        # and the caller gets one truthful refusal.
+    def test_outdated_summary_leads_to_one_refusal(self):
+        # A request is forwarded to a data centre whose endpoint has just
+        # crashed. It must not be sent back.
         async def scenario(stack):
             engine = Endpoint(name="e1")
             await stack.add_endpoint(engine, "b1")
@@ -190,11 +188,11 @@
 
 
 class ForwardFailureTest(unittest.TestCase):
-    """What a data centre can't do, another one may."""
+    """A failed forward is retried at another target."""
 
-    def test_entry_that_is_gone_is_passed_over(self):
-        # The south has two entries; one has just crashed and is still on
-        # the list. The request goes through the other.
+    def test_crashed_entry_vm_is_skipped(self):
+        # A crashed entry VM is still listed; the request must go through the
+        # other one.
         async def scenario(stack):
             await stack.add_endpoint(Endpoint(name="e1"), "b1", "b2")
             await stack.cluster.crash_vm("b1")
@@ -205,9 +203,9 @@
 
         run_with_stack(scenario, "a1", "b1", "b2")
 
-    def test_data_centre_that_can_not_is_passed_over(self):
-        # The engine of the south refuses connections. The west could
-        # serve, and the client's residency allows it.
+    def test_data_centre_without_working_endpoint_is_skipped(self):
+        # One endpoint refuses connections; another permitted data centre can
+        # run the request.
         async def scenario(stack):
             gone = Endpoint(name="e1")
             await stack.add_endpoint(gone, "b1")
@@ -223,7 +221,7 @@
 
 
 class WholeAnswerTest(unittest.TestCase):
-    """Answers that are read to their end before they go out."""
+    """Answers that are not streamed."""
 
     def check_retried(self, **faults):
         async def scenario(stack):
@@ -242,13 +240,13 @@
 
         run_with_stack(scenario, "a1")
 
-    def test_half_an_answer_in_a_whole_frame_is_run_again(self):
+    def test_truncated_answer_with_correct_framing_is_retried(self):
         self.check_retried(body=b'{"id":"x","o')
 
-    def test_engine_that_fails_is_passed_over(self):
+    def test_failing_endpoint_is_skipped(self):
         self.check_retried(status=503)
 
-    def test_error_of_the_caller_passes_through(self):
+    def test_client_error_is_returned_without_retry(self):
         async def scenario(stack):
             engine = Endpoint(name="e1", status=422, body=b'{"why":1}')
             await stack.add_endpoint(engine, "a1")
@@ -259,7 +257,7 @@
 
         run_with_stack(scenario, "a1")
 
-    def test_headers_of_one_connection_are_not_passed_on(self):
+    def test_hop_by_hop_headers_are_not_forwarded(self):
         async def scenario(stack):
             await stack.add_endpoint(
                 Endpoint(name="e1"), "a1", service="booking"
@@ -282,10 +280,9 @@
         self.assertEqual(200, answer.status)
         return service, answer
 
-    def test_large_answer_is_not_held_for_a_slow_reader(self):
-        # A service answers with 20 MB; the caller takes the first part and
-        # waits. The entry holds a bounded part of it, and then passes on
-        # the rest.
+    def test_memory_for_a_slow_reader_is_bounded(self):
+        # The caller pauses while it reads an answer of 20 MB. Only a bounded
+        # part may be buffered, and the rest must still arrive.
         async def scenario(stack):
             service, answer = await self.open_large(stack)
             parts = answer.chunks()
@@ -298,7 +295,7 @@
 
         run_with_stack(scenario, "a1")
 
-    def test_large_answer_that_is_cut_does_not_look_whole(self):
+    def test_truncated_large_answer_does_not_look_complete(self):
         async def scenario(stack):
             _, answer = await self.open_large(stack, cut_after=1000)
             with self.assertRaises(AnswerLost):
@@ -306,9 +303,9 @@
 
         run_with_stack(scenario, "a1")
 
-    def test_deadline_travels_as_time_remaining(self):
-        # An engine in the other region says nothing for 15 s of the 20;
-        # the next one is told of the 5 s that are left.
+    def test_retry_gets_the_remaining_time_as_deadline(self):
+        # An unresponsive endpoint uses 15 s of the 20 s; the next one must be
+        # sent a deadline of 5 s.
         async def scenario(stack):
             silent = Endpoint(name="e1", silent=True)
             await stack.add_endpoint(silent, "b1")
--- a/tests/requests/test_service.py
+++ b/tests/requests/test_service.py
@@ -1,4 +1,4 @@
-"""What the service counts, and how it ends with its VM."""
+"""Tests of the request service: its metrics, and draining."""
 
 import asyncio
 import unittest
@@ -24,9 +24,9 @@
 
 
 class MeterTest(unittest.TestCase):
-    """Operators see answers, refusals by verdict, and forwards."""
+    """Metrics of answers, refusals and forwards."""
 
-    def test_metrics_page_tells_what_became_of_requests(self):
+    def test_metrics_page_counts_requests_by_result(self):
         async def scenario(stack):
             await stack.add_endpoint(Endpoint(name="e1"), "b1")
             await stack.read(await stack.complete("a1"))
@@ -60,11 +60,11 @@
 
 
 class DrainTest(unittest.TestCase):
-    """HARD CASE 20, for runs whose callers have gone."""
+    """HARD CASE 20, for requests whose callers have disconnected."""
 
-    def test_drain_waits_for_an_unrepeatable_run_without_its_caller(self):
-        # The caller of a booking hangs up, and the VM is told to drain.
-        # The run must be finished: cut off, nobody could repeat it.
+    def test_drain_waits_for_an_unrepeatable_request_without_caller(self):
+        # An unrepeatable request could not be retried, so draining must wait
+        # for it even after its caller has disconnected.
         async def scenario(stack):
             service = Endpoint(name="e1", seconds=20)
             await stack.add_endpoint(service, "a1", service="booking")
--- a/tests/requests/test_streams.py
+++ b/tests/requests/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams that break, end early, cross or lose their caller."""
+"""Tests of streams that break, end early, mix up or lose their caller."""
 
 import asyncio
 import unittest
@@ -28,7 +28,7 @@
 
 
 class BrokenStreamTest(unittest.TestCase):
-    """HARD CASE 5: no token lost or doubled, or an explicit error."""
+    """HARD CASE 5: no token is lost or repeated, or an error is sent."""
 
     def check_resumed(self, **faults):
         async def scenario(stack):
@@ -45,7 +45,7 @@
                 self.assertEqual(1, body.count(DONE))
                 self.assertTrue(body.rstrip().endswith(DONE))
                 self.assertNotIn(b"event: error", body)
-                # One id, whichever attempts it took.
+                # All attempts show the same id to the caller.
                 ids = {
                     line.split('"id":"')[1].split('"')[0]
                     for line in body.decode().split("\n")
@@ -60,26 +60,23 @@
 
         run_with_stack(scenario, "a1")
 
-    def test_stream_cut_in_the_middle_is_resumed(self):
-        # An engine's connection breaks after three tokens. The caller sees
-        # the other three come from the second engine, each token once.
+    def test_broken_stream_is_resumed(self):
+        # The caller must get each token once, across both attempts.
         self.check_resumed(cut_after=3)
 
-    def test_clean_close_without_the_marker_is_not_an_end(self):
-        # The engine closes the stream in good form after three tokens, as
-        # one does that is stopped. The answer is not complete, so it goes
-        # on elsewhere.
+    def test_stream_closed_without_the_marker_is_resumed(self):
+        # An engine that is stopped closes its streams without an error, but
+        # the answer is incomplete.
         self.check_resumed(cut_after=3, cut_clean=True)
 
-    def test_stream_cut_after_its_last_token_is_finished(self):
-        # All tokens have come, the marker has not: the resumed attempt has
-        # only the end to give, and no token comes twice.
+    def test_stream_broken_after_its_last_token_is_completed(self):
+        # Only the marker is missing; the resumed attempt must not repeat a
+        # token.
         self.check_resumed(cut_after=6)
 
     def test_stream_that_stalls_is_resumed_and_cancelled(self):
-        # The engine keeps the connection open and sends nothing more after
-        # three tokens. After the limit the stream goes on elsewhere, and
-        # the first engine is told that nobody waits.
+        # The engine stops sending but keeps the connection open. The stream
+        # is resumed after the idle timeout and the first attempt cancelled.
         async def scenario(stack):
             stalled = Endpoint(name="e1", stall_after=3)
             await stack.add_endpoint(stalled, "a1")
@@ -92,9 +89,9 @@
 
         run_with_stack(scenario, "a1")
 
-    def test_stream_that_nobody_can_resume_ends_in_an_error(self):
-        # The only engine dies after three tokens and stays away. The
-        # caller has three tokens; it must be told, and get no marker.
+    def test_stream_that_can_not_be_resumed_ends_in_an_error(self):
+        # The only engine crashes. The caller must get an error event and no
+        # marker after the tokens that were sent.
         async def scenario(stack):
             engine = Endpoint(name="e1", cut_after=3)
             await stack.add_endpoint(engine, "a1")
@@ -112,8 +109,8 @@
         run_with_stack(scenario, "a1")
 
     def test_event_of_another_request_reaches_nobody(self):
-        # HARD CASE 6: an engine mixes up two answers. The event bears the
-        # id of another request, so it is not passed on.
+        # HARD CASE 6: an engine mixes up two answers. Events with the id of
+        # another request must not be relayed.
         async def scenario(stack):
             engine = Endpoint(name="e1", echo_id="req-other.00.0")
             await stack.add_endpoint(engine, "a1")
@@ -124,9 +121,8 @@
 
         run_with_stack(scenario, "a1")
 
-    def test_forwarded_stream_survives_the_loss_of_the_remote_entry(self):
-        # A stream runs through an entry of another region, which crashes
-        # after some tokens. Another entry there resumes it at the engine.
+    def test_forwarded_stream_survives_a_crash_of_the_remote_entry_vm(self):
+        # Another entry VM of the remote data centre must resume the stream.
         async def scenario(stack):
             engine = Endpoint(name="e1", token_seconds=0.5)
             await stack.add_endpoint(engine, "b1", "b2")
@@ -153,11 +149,11 @@
 
 
 class SilenceTest(unittest.TestCase):
-    """HARD CASE 4: sent, then silence."""
+    """HARD CASE 4: no response after a request was sent."""
 
-    def test_repeatable_request_moves_on_after_silence(self):
-        # One engine takes requests and says nothing. The caller of a
-        # stream gets its answer from the other one.
+    def test_repeatable_request_is_retried_after_a_timeout(self):
+        # One engine accepts requests and never answers; the other one must
+        # answer instead.
         async def scenario(stack):
             await stack.add_endpoint(Endpoint(name="e1", silent=True), "a1")
             await stack.add_endpoint(Endpoint(name="e2"), "a1")
@@ -168,9 +164,8 @@
 
         run_with_stack(scenario, "a1")
 
-    def test_deadline_that_passes_is_named(self):
-        # Nothing comes before the deadline, or the last tokens would come
-        # after it: the caller is told so, when it passes.
+    def test_missed_deadline_is_reported(self):
+        # The deadline passes before the first token, or within the stream.
         async def scenario(stack):
             engine = await stack.add_endpoint(
                 Endpoint(name="e1", silent=True), "a1"
@@ -183,7 +178,7 @@
             self.assertEqual("may have run", answer.headers["x-verdict"])
             engine.silent = False
             engine.token_seconds = 1.0
-            # Routing leaves an endpoint alone that was silent to the end.
+            # The unresponsive endpoint is ejected for some seconds.
             await asyncio.sleep(10)
             answer = await stack.complete("a1", headers=headers)
             body = await stack.read(answer)
@@ -193,25 +188,26 @@
 
         run_with_stack(scenario, "a1")
 
-    def test_unrepeatable_request_is_not_repeated_after_silence(self):
-        # The service takes the booking and says nothing until the
-        # deadline. Whether it booked is not known: no second attempt.
+    def test_unrepeatable_request_is_not_retried_after_a_timeout(self):
+        # The request may have run, so there must be no second attempt.
         async def scenario(stack):
-            mute = Endpoint(name="e1", silent=True)
+            first = Endpoint(name="e1", silent=True)
             spare = Endpoint(name="e2", silent=True)
-            for one in (mute, spare):
+            for one in (first, spare):
                 await stack.add_endpoint(one, "a1", service="booking")
             booked = await stack.book(
                 "a1", "key", headers={"x-deadline-seconds": "20"}
             )
             self.assertEqual("may have run", booked.verdict)
-            self.assertEqual(1, len(mute.calls) + len(spare.calls))
+            self.assertEqual(1, len(first.calls) + len(spare.calls))
 
         run_with_stack(scenario, "a1")
 
-    def test_unrepeatable_request_is_not_repeated_after_a_break(self):
-        # The service takes the booking and dies. Another one stands ready
-        # and there is time left; the request may have run all the same.
+    def test_unrepeatable_request_is_not_retried_after_a_broken_connection(
+        self,
+    ):
+        # The request may have run before the crash, so it must not be sent to
+        # the other endpoint.
         async def scenario(stack):
             services = [Endpoint(name=f"e{n}", crash_on=b"x") for n in (1, 2)]
             for one in services:
@@ -223,9 +219,9 @@
 
         run_with_stack(scenario, "a1")
 
-    def test_refused_connection_is_provably_not_run(self):
-        # Nothing listens at the service's address: no byte has left, so
-        # even an unrepeatable request may say "not run" and come again.
+    def test_refused_connection_has_the_verdict_not_run(self):
+        # Nothing was sent, so even an unrepeatable request can be sent again
+        # with the same key.
         async def scenario(stack):
             gone = Endpoint(name="e1")
             await stack.add_endpoint(gone, "a1", service="booking")
@@ -240,8 +236,8 @@
         run_with_stack(scenario, "a1")
 
     def test_retries_of_two_hops_do_not_multiply(self):
-        # Every engine of the other region fails. The entry there makes its
-        # attempts and refuses; the one that passed it on makes no more.
+        # All remote endpoints fail. The remote entry VM makes its retries, so
+        # the forwarding one must make none.
         async def scenario(stack):
             engines = [Endpoint(name=f"e{n}", status=500) for n in range(3)]
             for engine in engines:
@@ -257,7 +253,7 @@
 
 
 class HangUpTest(unittest.TestCase):
-    """HARD CASE 7: the caller goes; slots are freed."""
+    """HARD CASE 7: slots are freed when the caller disconnects."""
 
     def check_cancelled(self, entry):
         async def scenario(stack):
@@ -276,13 +272,13 @@
         self.check_cancelled("b1")
 
     def test_engine_is_cancelled_across_a_forward(self):
-        # The caller hangs up at an entry of the north; the engine is in
-        # the south. Both entries have to notice and cancel.
+        # Both entry VMs must detect the disconnect for the cancellation to
+        # reach the remote engine.
         self.check_cancelled("a1")
 
     def test_engine_is_cancelled_before_the_first_token(self):
-        # The caller goes while the engine reads the prompt: no token has
-        # come that could show that the connection has closed.
+        # During prefill no token is sent, so the engine does not detect the
+        # closed connection by itself.
         async def scenario(stack):
             engine = Endpoint(name="e1", token_seconds=50)
             await stack.add_endpoint(engine, "a1")
@@ -296,9 +292,9 @@
 
         run_with_stack(scenario, "a1")
 
-    def test_slow_reader_holds_up_nobody_else(self):
-        # One caller takes one event and then none. Others are answered,
-        # and when it reads on it gets the rest.
+    def test_slow_reader_does_not_block_other_callers(self):
+        # A caller stops reading after one event. Others must be answered, and
+        # it must get the rest when it continues to read.
         async def scenario(stack):
             engine = Endpoint(name="e1", tokens=300, token_seconds=0.01)
             await stack.add_endpoint(engine, "a1")
@@ -315,7 +311,7 @@
 
 
 class RelayTest(unittest.TestCase):
-    """What the events themselves may look like."""
+    """Relaying of unusual event streams."""
 
     def check(self, parts, expected_text, *, failed):
         async def scenario(stack):
@@ -336,7 +332,7 @@
 
         run_with_stack(scenario, "a1")
 
-    def test_events_split_anywhere_are_put_together(self):
+    def test_events_split_across_chunks_are_reassembled(self):
         def parts(request_id):
             whole = event(request_id, 1, "one ") + event(request_id, 2, "two")
             whole += DONE + b"\n\n"
@@ -345,8 +341,7 @@
         self.check(parts, "one two", failed=False)
 
     def test_event_of_another_request_is_not_passed_on(self):
-        # The head is the right one, but an event within the stream bears
-        # another request's id.
+        # The head has the right id, but a later event has another one.
         def parts(request_id):
             yield event(request_id, 1, "one ")
             yield event("req-other.00.0", 2, "secret")
@@ -354,15 +349,14 @@
         self.check(parts, "one ", failed=True)
 
     def test_marker_within_a_text_is_not_the_end(self):
-        # The answer speaks of "data: [DONE]", and the engine then closes.
+        # The text contains "data: [DONE]", and the engine then closes.
         def parts(request_id):
             return [event(request_id, 1, "data: [DONE]\n\n")]
 
         self.check(parts, "data: [DONE]\n\n", failed=True)
 
     def test_stream_without_offsets_is_not_resumed(self):
-        # An engine that numbers nothing breaks: it can't go on from a
-        # token, and starting again would repeat what went out.
+        # Without offsets a new attempt would repeat tokens that were sent.
         def parts(request_id):
             yield event(request_id, 1, "one ").partition(b"\n")[2]
             raise AnswerLost("reset by peer")
