--- a/burdockdrum/admission/admission.py
+++ b/burdockdrum/admission/admission.py
@@ -14,9 +14,9 @@
 from burdockdrum.admission.waiting import WaitQueue
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.ports import Clock
-from burdockdrum.routing import Demand
 from burdockdrum.routing import Estimate
 from burdockdrum.routing import Router
+from burdockdrum.routing import RoutingRequest
 from burdockdrum.settings import PolicySettings
 from burdockdrum.verdicts import Refusal
 from burdockdrum.verdicts import RefusalCode
@@ -95,10 +95,10 @@
         self._mean_seconds_by_worth: dict[float, float] = {}
         self._has_waiters = asyncio.Event()
         self.running = 0
-        router.read_wait = self.estimate_wait
+        router.estimate_queue_seconds = self.estimate_wait
         router.add_listener(self._process_queue)
 
-    async def admit(self, client_id: str, demand: Demand) -> Permit:
+    async def admit(self, client_id: str, request: RoutingRequest) -> Permit:
         """Wait until a request may start.
 
         A request forwarded by another data centre was charged to its quotas
@@ -107,10 +107,10 @@
         :raises Refusal: with the verdict "not run" and a time to retry after
         """
         reservation = None
-        if self._quotas is not None and not demand.hops:
-            reservation = await self._quotas.acquire(client_id, demand)
+        if self._quotas is not None and not request.hops:
+            reservation = await self._quotas.acquire(client_id, request)
         try:
-            await self._wait_for_capacity(self._team_of(client_id), demand)
+            await self._wait_for_capacity(self._team_of(client_id), request)
         except BaseException:
             if reservation is not None:
                 reservation.release(tokens=0)
@@ -118,14 +118,16 @@
         self.running += 1
         return Permit(admission=self, reservation=reservation)
 
-    async def wait_again(self, client_id: str, demand: Demand) -> None:
+    async def wait_again(
+        self, client_id: str, request: RoutingRequest
+    ) -> None:
         """Wait again after the chosen endpoint had no free capacity.
 
         The request keeps its permit, and is not charged again.
 
         :raises Refusal: with the verdict "not run" and a time to retry after
         """
-        await self._wait_for_capacity(self._team_of(client_id), demand)
+        await self._wait_for_capacity(self._team_of(client_id), request)
 
     def give_back(
         self, reservation: QuotaReservation | None, tokens: int
@@ -148,33 +150,37 @@
     def queue_seconds(self, service: str) -> float:
         """Return the estimated wait of a request of median priority."""
         queue = self._queues_by_service.get(service) or ()
-        if not queue and self._router.room(service) >= 1:
+        if not queue and self._router.free_capacity(service) >= 1:
             return 0.0
         ahead = sum(waiter.slot_seconds for waiter in queue) / 2
         return self._read_drain_rate(service).seconds(ahead)
 
-    def estimate_wait(self, demand: Demand) -> float:
+    def estimate_wait(self, request: RoutingRequest) -> float:
         """Return the estimated wait of a request in this VM's queue."""
-        queue = self._queues_by_service.get(demand.service)
+        queue = self._queues_by_service.get(request.service)
         if not queue:
             return 0.0
-        key = self._queue_key(demand, math.inf)
+        key = self._queue_key(request, math.inf)
         ahead = queue.seconds_ahead(key)
-        return self._read_drain_rate(demand.service).seconds(ahead)
+        return self._read_drain_rate(request.service).seconds(ahead)
 
-    async def _wait_for_capacity(self, team: str, demand: Demand) -> None:
-        estimate = self._router.estimate(demand)
+    async def _wait_for_capacity(
+        self, team: str, request: RoutingRequest
+    ) -> None:
+        estimate = self._router.estimate(request)
         if estimate is None:
             # No endpoint can serve it; the router reports the reason.
             return
-        self._check_deadline(demand, estimate)
-        queue = self._queues_by_service.setdefault(demand.service, WaitQueue())
-        self._update_mean_seconds(demand, estimate.run)
-        start_tag = queue.assign_start_tag(team, demand.rank, estimate.run)
-        key = self._queue_key(demand, start_tag)
-        if not queue.seconds_ahead(key) and self._can_start(demand):
+        self._check_deadline(request, estimate)
+        queue = self._queues_by_service.setdefault(
+            request.service, WaitQueue()
+        )
+        self._update_mean_seconds(request, estimate.run)
+        start_tag = queue.assign_start_tag(team, request.rank, estimate.run)
+        key = self._queue_key(request, start_tag)
+        if not queue.seconds_ahead(key) and self._can_start(request):
             return
-        if demand.hops and not demand.displaced:
+        if request.hops and not request.displaced:
             # Forwarded requests wait only at the entry that forwarded them,
             # which can choose another data centre.
             raise _make_refusal(
@@ -183,7 +189,7 @@
                 1.0,
             )
         waiter = Waiter(
-            demand=demand,
+            request=request,
             key=key,
             start_tag=start_tag,
             slot_seconds=estimate.run,
@@ -192,25 +198,27 @@
         queue.add(waiter)
         self._has_waiters.set()
         try:
-            self._shed(queue, self._read_drain_rate(demand.service))
+            self._shed(queue, self._read_drain_rate(request.service))
             await waiter.started
         finally:
             queue.remove(waiter)
         # Runs after this request has started and counts as load.
         asyncio.get_running_loop().call_soon(
-            self._process_queue, demand.service
+            self._process_queue, request.service
         )
 
-    def _can_start(self, demand: Demand) -> bool:
+    def _can_start(self, request: RoutingRequest) -> bool:
         # Reading the drain rate visits all endpoints, so it is done only if
         # the request can't start at once.
-        if self._router.can_start(demand):
+        if self._router.can_start(request):
             return True
-        wait = self._read_drain_rate(demand.service).seconds(0.0)
-        return self._router.can_start(demand, wait=wait)
+        wait = self._read_drain_rate(request.service).seconds(0.0)
+        return self._router.can_start(request, wait=wait)
 
-    def _check_deadline(self, demand: Demand, estimate: Estimate) -> None:
-        left = demand.deadline - self._clock.monotonic()
+    def _check_deadline(
+        self, request: RoutingRequest, estimate: Estimate
+    ) -> None:
+        left = request.deadline - self._clock.monotonic()
         if estimate.run > left:
             raise _make_refusal(
                 RefusalCode.DEADLINE,
@@ -226,7 +234,7 @@
         return client.team or client_id if client else client_id
 
     def _queue_key(
-        self, demand: Demand, start_tag: float
+        self, request: RoutingRequest, start_tag: float
     ) -> tuple[float, ...]:
         """Return the sort key of a request in its queue.
 
@@ -237,14 +245,18 @@
         high worth, which then miss their deadlines.
         """
         if self._policy.prefer == "worth":
-            mean = self._mean_seconds_by_worth.get(demand.worth, 1.0)
-            return (-demand.worth / mean, len(demand.hops), start_tag)
-        return (demand.rank, len(demand.hops), start_tag)
+            mean = self._mean_seconds_by_worth.get(request.worth, 1.0)
+            return (-request.worth / mean, len(request.hops), start_tag)
+        return (request.rank, len(request.hops), start_tag)
 
-    def _update_mean_seconds(self, demand: Demand, seconds: float) -> None:
+    def _update_mean_seconds(
+        self, request: RoutingRequest, seconds: float
+    ) -> None:
         means = self._mean_seconds_by_worth
-        mean = means.get(demand.worth, seconds)
-        means[demand.worth] = max(0.01, mean + _MEAN_WEIGHT * (seconds - mean))
+        mean = means.get(request.worth, seconds)
+        means[request.worth] = max(
+            0.01, mean + _MEAN_WEIGHT * (seconds - mean)
+        )
 
     def _process_queue(self, service: str) -> None:
         """Start the first waiter that can, and shed late waiters."""
@@ -263,7 +275,7 @@
                 return
             wait = drain.seconds(ahead)
             ahead += waiter.slot_seconds
-            if self._router.can_start(waiter.demand, wait=wait):
+            if self._router.can_start(waiter.request, wait=wait):
                 queue.remove(waiter)
                 queue.advance_virtual_time(waiter)
                 waiter.admit()
@@ -276,13 +288,13 @@
         Without yielding, a VM that holds most slots would keep them and
         starve the queues of the others.
         """
-        share = self._router.share(service)
+        share = self._router.capacity_share(service)
         own_wait = self.queue_seconds(service)
         others_wait_longer = (
-            share.peers_wait
+            share.peer_queue_seconds
             > own_wait * YIELD_WAIT_FACTOR + YIELD_WAIT_MARGIN_SECONDS
         )
-        return others_wait_longer and share.own > share.equal_part
+        return others_wait_longer and share.local > share.equal_share
 
     def _shed(self, queue: WaitQueue, drain: _DrainRate) -> None:
         """Refuse the waiters whose estimated wait is too long.
@@ -296,7 +308,7 @@
             wait = drain.seconds(ahead)
             ahead += waiter.slot_seconds
             finish = now + wait + waiter.slot_seconds
-            if finish > waiter.demand.deadline:
+            if finish > waiter.request.deadline:
                 ahead -= waiter.slot_seconds
                 self._refuse_waiter(queue, waiter, RefusalCode.DEADLINE, wait)
             elif now + wait - waiter.since > self._max_wait(drain, waiter):
@@ -330,7 +342,7 @@
     def _read_drain_rate(self, service: str) -> _DrainRate:
         return _DrainRate(
             mean_seconds=self._router.mean_service_seconds(service),
-            capacity=max(1.0, self._router.share(service).capacity),
+            capacity=max(1.0, self._router.capacity_share(service).capacity),
         )
 
 
--- a/burdockdrum/admission/quotas.py
+++ b/burdockdrum/admission/quotas.py
@@ -26,7 +26,7 @@
 from burdockdrum.peers import Sender
 from burdockdrum.ports import Clock
 from burdockdrum.resources import Quota
-from burdockdrum.routing import Demand
+from burdockdrum.routing import RoutingRequest
 from burdockdrum.verdicts import Refusal
 from burdockdrum.verdicts import RefusalCode
 from burdockdrum.verdicts import Verdict
@@ -105,13 +105,13 @@
         peers.register(ReturnLoan, self._handle_return)
 
     async def acquire(
-        self, client_id: str, demand: Demand
+        self, client_id: str, request: RoutingRequest
     ) -> QuotaReservation:
         """Charge a request to all limits on its client and team.
 
         :raises Refusal: with the limit's name and a time to retry after
         """
-        charges = list(self._find_charges(client_id, demand))
+        charges = list(self._find_charges(client_id, request))
         for charge in charges:
             if not charge.share.can_acquire(self._now()):
                 await self._borrow(charge)
@@ -129,23 +129,23 @@
         return QuotaReservation(clock=self._clock, charges=charges)
 
     def _find_charges(
-        self, client_id: str, demand: Demand
+        self, client_id: str, request: RoutingRequest
     ) -> Iterator[_Charge]:
         configuration = self._configuration.current
         client = configuration.clients_by_id.get(client_id)
         if client is None:
             return
         yield from self._charges_for(
-            f"client {client_id}", client.quota, demand
+            f"client {client_id}", client.quota, request
         )
         team = configuration.teams_by_name.get(client.team or "")
         if team is not None:
             yield from self._charges_for(
-                f"team {client.team}", team.quota, demand
+                f"team {client.team}", team.quota, request
             )
 
     def _charges_for(
-        self, subject: str, quota: Quota, demand: Demand
+        self, subject: str, quota: Quota, request: RoutingRequest
     ) -> Iterator[_Charge]:
         amounts = (
             (Resource.REQUESTS, quota.requests_per_second, 1.0),
@@ -153,7 +153,7 @@
             (
                 Resource.TOKENS,
                 quota.tokens_per_second,
-                float(demand.max_tokens),
+                float(request.max_tokens),
             ),
         )
         for resource, limit, amount in amounts:
--- a/burdockdrum/admission/services.py
+++ b/burdockdrum/admission/services.py
@@ -40,6 +40,6 @@
         quotas=kernel.find("quotas", QuotaEnforcer),
     )
     summaries = kernel.find("summaries", Summaries)
-    summaries.read_room = router.room
+    summaries.read_room = router.free_capacity
     summaries.read_queue_seconds = admission.queue_seconds
     return admission
--- a/burdockdrum/admission/waiting.py
+++ b/burdockdrum/admission/waiting.py
@@ -8,7 +8,7 @@
 import bisect
 from collections.abc import Iterator
 
-from burdockdrum.routing import Demand
+from burdockdrum.routing import RoutingRequest
 from burdockdrum.verdicts import Refusal
 
 
@@ -18,14 +18,14 @@
     def __init__(
         self,
         *,
-        demand: Demand,
+        request: RoutingRequest,
         key: tuple[float, ...],
         start_tag: float,
         slot_seconds: float,
         since: float,
     ) -> None:
         """Create a waiter; lower keys start first."""
-        self.demand = demand
+        self.request = request
         self.start_tag = start_tag
         self.key = key
         self.slot_seconds = slot_seconds
@@ -77,7 +77,7 @@
 
     def advance_virtual_time(self, waiter: Waiter) -> None:
         """Advance the rank's virtual time to a started waiter's start tag."""
-        rank = waiter.demand.rank
+        rank = waiter.request.rank
         virtual_time = self._virtual_time_by_rank.get(rank, 0.0)
         self._virtual_time_by_rank[rank] = max(virtual_time, waiter.start_tag)
 
--- a/burdockdrum/requests/attempts.py
+++ b/burdockdrum/requests/attempts.py
@@ -118,7 +118,7 @@
         finally:
             self._idle_timer.end()
         if part is not None and isinstance(self.target, EndpointTarget):
-            self.target.attempt.note_first_token()
+            self.target.attempt.record_first_token()
         return part
 
     async def read_whole(self, seconds: float) -> bytes:
--- a/burdockdrum/requests/exchange.py
+++ b/burdockdrum/requests/exchange.py
@@ -27,11 +27,11 @@
 from burdockdrum.requests.residency import find_allowed_regions
 from burdockdrum.requests.upstreams import UpstreamOpener
 from burdockdrum.routing import AttemptOutcome
-from burdockdrum.routing import Demand
-from burdockdrum.routing import Nowhere
 from burdockdrum.routing import Router
+from burdockdrum.routing import RoutingRequest
 from burdockdrum.routing import ToDataCentre
 from burdockdrum.routing import ToEndpoint
+from burdockdrum.routing import Unroutable
 from burdockdrum.timeline import Timeline
 from burdockdrum.verdicts import Refusal
 from burdockdrum.verdicts import RefusalCode
@@ -86,14 +86,14 @@
         self._trial: Trial | None = None
         self._last_refusal: Refusal | None = None
 
-    def make_demand(self) -> Demand:
+    def make_routing_request(self) -> RoutingRequest:
         """Return the current routing parameters of the request.
 
         :raises Refusal: if residency allows no region
         """
         request = self.request
         priority = find_priority(self._services.configuration, request)
-        return Demand(
+        return RoutingRequest(
             service=request.service,
             regions=find_allowed_regions(
                 self._services.configuration, request
@@ -169,27 +169,29 @@
         if self.remaining() <= 0:
             raise _refuse_past_deadline()
         self._services.quarantine.check(self.request.fingerprint)
-        demand = self.make_demand()
-        match self._services.router.choose(demand):
+        routing_request = self.make_routing_request()
+        match self._services.router.choose(routing_request):
             case ToEndpoint(endpoint=endpoint):
-                self._check_region(self._services.identity.region, demand)
-                return await self._open_endpoint(endpoint, demand)
+                self._check_region(
+                    self._services.identity.region, routing_request
+                )
+                return await self._open_endpoint(endpoint, routing_request)
             case ToDataCentre() as choice:
-                return await self._open_forward(choice, demand)
-            case Nowhere() as nowhere:
-                return await self._retry_excluded(nowhere)
+                return await self._open_forward(choice, routing_request)
+            case Unroutable() as unroutable:
+                return await self._retry_excluded(unroutable)
 
     async def _open_endpoint(
-        self, endpoint: Endpoint, demand: Demand
+        self, endpoint: Endpoint, routing_request: RoutingRequest
     ) -> Upstream | None:
-        if demand.isolated:
+        if routing_request.isolated:
             self._trial = await self._services.quarantine.begin_trial(
                 self.request.fingerprint, endpoint.endpoint_id
             )
             if self._trial is None:
                 await self._services.clock.sleep(TRIAL_POLL_SECONDS)
                 return None
-        attempt = self._services.router.begin(endpoint, demand)
+        attempt = self._services.router.begin(endpoint, routing_request)
         try:
             upstream = await self._services.opener.open_endpoint(
                 self.request,
@@ -214,9 +216,9 @@
         return upstream
 
     async def _open_forward(
-        self, choice: ToDataCentre, demand: Demand
+        self, choice: ToDataCentre, routing_request: RoutingRequest
     ) -> Upstream | None:
-        self._check_forward(choice, demand)
+        self._check_forward(choice, routing_request)
         self._services.metrics.record_forward(choice.data_centre)
         failure: AttemptFailed | None = None
         for entry in choice.entries:
@@ -231,7 +233,9 @@
                     entry,
                     attempt_id=self.request.request_id,
                     offset=self.delivered_tokens,
-                    displaced=self._services.router.is_displaced(demand),
+                    displaced=self._services.router.is_displaced(
+                        routing_request
+                    ),
                 )
                 if VERDICT_HEADER not in upstream.headers:
                     self.verdict = worst(self.verdict, Verdict.MAY_HAVE_RUN)
@@ -257,13 +261,13 @@
         Retrying elsewhere at once would overtake the queued requests and
         fill the queue of an overloaded engine.
         """
-        self._services.router.note_forward_refused(data_centre)
+        self._services.router.record_forward_refused(data_centre)
         await self._services.admission.wait_again(
-            self.request.client_id, self.make_demand()
+            self.request.client_id, self.make_routing_request()
         )
 
-    async def _retry_excluded(self, nowhere: Nowhere) -> Upstream:
-        refusal = _refuse_unroutable(nowhere, self._last_refusal)
+    async def _retry_excluded(self, unroutable: Unroutable) -> Upstream:
+        refusal = _refuse_unroutable(unroutable, self._last_refusal)
         tried = self._excluded_endpoints or self._excluded_data_centres
         if not tried:
             raise refusal
@@ -309,19 +313,23 @@
         if not self._services.budget.try_withdraw():
             raise self._admit(refusal)
 
-    def _check_region(self, region: str, demand: Demand) -> None:
+    def _check_region(
+        self, region: str, routing_request: RoutingRequest
+    ) -> None:
         # Routing selects within the residency already. This last check
         # guards against an error there before data leaves the region.
-        if region not in demand.regions:
+        if region not in routing_request.regions:
             raise Refusal(
                 code=RefusalCode.RESIDENCY,
                 message=f"region {region!r} is not in the client's residency",
                 verdict=Verdict.NOT_RUN,
             )
 
-    def _check_forward(self, choice: ToDataCentre, demand: Demand) -> None:
+    def _check_forward(
+        self, choice: ToDataCentre, routing_request: RoutingRequest
+    ) -> None:
         for entry in choice.entries:
-            self._check_region(entry.region, demand)
+            self._check_region(entry.region, routing_request)
         hops = self.request.hops
         if len(hops) >= MAX_FORWARDS or choice.data_centre in hops:
             raise Refusal(
@@ -385,20 +393,22 @@
     return is_full and refusal.verdict is Verdict.NOT_RUN
 
 
-def _refuse_unroutable(nowhere: Nowhere, last: Refusal | None) -> Refusal:
+def _refuse_unroutable(
+    unroutable: Unroutable, last: Refusal | None
+) -> Refusal:
     code = RefusalCode.OVERLOADED
     if last is not None:
         # The last failure is more specific than the lack of alternatives.
         code = last.code
-    elif nowhere.loop:
+    elif unroutable.loop:
         code = RefusalCode.LOOP
-    elif nowhere.no_endpoint:
+    elif unroutable.no_endpoint:
         code = RefusalCode.NO_ENDPOINT
-    elif nowhere.missed_deadline:
+    elif unroutable.missed_deadline:
         code = RefusalCode.DEADLINE
     return Refusal(
         code=code,
-        message=nowhere.message,
+        message=unroutable.message,
         verdict=Verdict.NOT_RUN,
-        retry_after=nowhere.retry_after,
+        retry_after=unroutable.retry_after,
     )
--- a/burdockdrum/requests/service.py
+++ b/burdockdrum/requests/service.py
@@ -134,7 +134,7 @@
         request = exchange.request
         self._services.quarantine.check(request.fingerprint)
         permit = await self._services.admission.admit(
-            request.client_id, exchange.make_demand()
+            request.client_id, exchange.make_routing_request()
         )
         try:
             if request.stream and request.kind is not RequestKind.PLAIN:
--- a/burdockdrum/routing/__init__.py
+++ b/burdockdrum/routing/__init__.py
@@ -6,15 +6,15 @@
 """
 
 from burdockdrum.routing.attempts import Attempt
-from burdockdrum.routing.elsewhere import MAX_HOPS
 from burdockdrum.routing.model import AttemptOutcome
 from burdockdrum.routing.model import CapacityShare
 from burdockdrum.routing.model import Choice
-from burdockdrum.routing.model import Demand
 from burdockdrum.routing.model import Estimate
-from burdockdrum.routing.model import Nowhere
+from burdockdrum.routing.model import RoutingRequest
 from burdockdrum.routing.model import ToDataCentre
 from burdockdrum.routing.model import ToEndpoint
+from burdockdrum.routing.model import Unroutable
+from burdockdrum.routing.remote_data_centres import MAX_HOPS
 from burdockdrum.routing.router import Router
 from burdockdrum.routing.services import add_services
 
@@ -24,11 +24,11 @@
     "AttemptOutcome",
     "CapacityShare",
     "Choice",
-    "Demand",
     "Estimate",
     "MAX_HOPS",
-    "Nowhere",
     "Router",
+    "RoutingRequest",
     "ToDataCentre",
     "ToEndpoint",
+    "Unroutable",
 ]
--- a/burdockdrum/routing/attempts.py
+++ b/burdockdrum/routing/attempts.py
@@ -4,10 +4,10 @@
 
 from burdockdrum.endpoints import Endpoint
 from burdockdrum.ports import Clock
+from burdockdrum.routing.endpoint_tracker import EndpointTracker
 from burdockdrum.routing.model import AttemptFacts
 from burdockdrum.routing.model import AttemptOutcome
-from burdockdrum.routing.model import Demand
-from burdockdrum.routing.tracking import EndpointTracker
+from burdockdrum.routing.model import RoutingRequest
 
 
 class Attempt:
@@ -25,7 +25,7 @@
         number: int,
         clock: Clock,
         endpoint: Endpoint,
-        demand: Demand,
+        request: RoutingRequest,
         tracker: EndpointTracker,
         load: float,
         uncached_tokens: float,
@@ -36,7 +36,7 @@
         """Start timing the attempt."""
         self.number = number
         self.endpoint = endpoint
-        self.demand = demand
+        self.request = request
         self.tracker = tracker
         self.load = load
         self.uncached_tokens = uncached_tokens
@@ -48,7 +48,7 @@
         self._first_token_seconds: float | None = None
         self._finished = False
 
-    def note_first_token(self) -> None:
+    def record_first_token(self) -> None:
         """Record the arrival of the first part of the answer."""
         if self._first_token_seconds is None:
             seconds = self._clock.monotonic() - self._started_at
--- a/burdockdrum/routing/tracking.py
+++ b/burdockdrum/routing/endpoint_tracker.py
@@ -5,7 +5,7 @@
 
 from burdockdrum.endpoints import Endpoint
 from burdockdrum.routing.health import EndpointHealth
-from burdockdrum.routing.load import LocalLoad
+from burdockdrum.routing.local_load import LocalLoad
 from burdockdrum.routing.speed import ConcurrencyLimit
 from burdockdrum.routing.speed import Speed
 from burdockdrum.routing.speed import SpeedModel
--- a/burdockdrum/routing/fleet.py
+++ b/burdockdrum/routing/fleet.py
@@ -12,11 +12,11 @@
 from burdockdrum.endpoints import Endpoint
 from burdockdrum.endpoints import EndpointRegistry
 from burdockdrum.ports import Clock
-from burdockdrum.routing.model import Demand
+from burdockdrum.routing.endpoint_tracker import EndpointTracker
 from burdockdrum.routing.model import Estimate
-from burdockdrum.routing.placements import PrefixPlacements
+from burdockdrum.routing.model import RoutingRequest
+from burdockdrum.routing.prefix_placements import PrefixPlacements
 from burdockdrum.routing.speed import Speed
-from burdockdrum.routing.tracking import EndpointTracker
 from burdockdrum.settings import PolicySettings
 
 # Time constant of the exponential decay of a report's weight.
@@ -85,29 +85,29 @@
         ]
         return statistics.fmean(times) if times else 1.0
 
-    def evaluate(self, demand: Demand) -> list[Option]:
+    def evaluate(self, request: RoutingRequest) -> list[Option]:
         """Return the local endpoints that are eligible for a request."""
-        if self._region not in demand.regions:
+        if self._region not in request.regions:
             return []
         now = self._clock.monotonic()
         options = []
-        depths = self.depths(demand)
-        candidates = self._endpoints.candidates(demand.service)
-        fitting = _with_adapter(candidates, demand.adapter)
+        depths = self.depths(request)
+        candidates = self._endpoints.candidates(request.service)
+        fitting = _with_adapter(candidates, request.adapter)
         fitting = self._sample(fitting, depths)
         loads = self.estimate_loads(fitting)
         for endpoint in fitting:
-            if endpoint.endpoint_id in demand.excluded_endpoints:
+            if endpoint.endpoint_id in request.excluded_endpoints:
                 continue
             tracker = self.track(endpoint)
             if tracker.current_limit(now) <= 0 or tracker.is_unresponsive(now):
                 continue
-            if tracker.suspects and not demand.isolated:
+            if tracker.suspects and not request.isolated:
                 continue
             option = self.evaluate_endpoint(
                 endpoint,
                 tracker,
-                demand,
+                request,
                 depths,
                 loads[endpoint.endpoint_id],
             )
@@ -145,15 +145,15 @@
         self,
         endpoint: Endpoint,
         tracker: EndpointTracker,
-        demand: Demand,
+        request: RoutingRequest,
         depths: dict[str, int],
         load: float,
     ) -> Option:
         limit = tracker.current_limit(self._clock.monotonic())
-        blocks = len(demand.prefix_hashes)
-        depth = self._count_cached_blocks(endpoint, tracker, demand, depths)
+        blocks = len(request.prefix_hashes)
+        depth = self._count_cached_blocks(endpoint, tracker, request, depths)
         cached_fraction = depth / blocks if blocks else 0.0
-        uncached_tokens = demand.prompt_tokens * (1 - cached_fraction)
+        uncached_tokens = request.prompt_tokens * (1 - cached_fraction)
         speed = tracker.speed.speed
         ahead = max(0.0, load + 1 - limit)
         wait = ahead * tracker.service_seconds / max(1.0, limit)
@@ -165,7 +165,7 @@
             + (uncached_tokens * speed.prefill_seconds + speed.decode_seconds)
             * contention
         )
-        finish = first + demand.max_tokens * speed.decode_seconds * contention
+        finish = first + request.max_tokens * speed.decode_seconds * contention
         return Option(
             endpoint=endpoint,
             tracker=tracker,
@@ -206,7 +206,7 @@
         self,
         endpoint: Endpoint,
         tracker: EndpointTracker,
-        demand: Demand,
+        request: RoutingRequest,
         depths: dict[str, int],
     ) -> int:
         """Return how many leading blocks of a prompt are probably cached.
@@ -216,11 +216,11 @@
         """
         cache = self._endpoints.cache_of(endpoint.endpoint_id)
         if len(cache):
-            return cache.count_leading(demand.prefix_hashes)
+            return cache.count_leading(request.prefix_hashes)
         return depths.get(tracker.name, 0)
 
-    def depths(self, demand: Demand) -> dict[str, int]:
-        return self.placements.depths(demand.prefix_hashes)
+    def depths(self, request: RoutingRequest) -> dict[str, int]:
+        return self.placements.depths(request.prefix_hashes)
 
     def track(self, endpoint: Endpoint) -> EndpointTracker:
         known = self._trackers_by_id.get(endpoint.endpoint_id)
--- a/burdockdrum/routing/model.py
+++ b/burdockdrum/routing/model.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Demand:
+class RoutingRequest:
     """The properties of a request that routing depends on.
 
     ``deadline`` is on this VM's monotonic clock. ``rank`` is that of the
@@ -53,22 +53,22 @@
 class CapacityShare:
     """The capacity of a data centre for a service, and this VM's share.
 
-    ``limit`` is the number of requests that may run at once, ``own`` the
-    number running for this VM and ``total`` for all ``entries`` entry VMs of
-    the data centre. ``peers_wait`` is the longest queue of the other entry
-    VMs, in seconds.
+    ``limit`` is the number of requests that may run at once, ``local``
+    the number running for this VM and ``total`` for all ``entry_vms`` entry
+    VMs of the data centre. ``peer_queue_seconds`` is the longest queue of the
+    other entry VMs.
     """
 
     limit: float
-    own: float
+    local: float
     total: float
-    entries: int
-    peers_wait: float
+    entry_vms: int
+    peer_queue_seconds: float
 
     @property
-    def equal_part(self) -> float:
+    def equal_share(self) -> float:
         """Return the limit divided equally among the entry VMs."""
-        return self.limit / self.entries
+        return self.limit / self.entry_vms
 
     @property
     def capacity(self) -> float:
@@ -78,8 +78,8 @@
         entry VM gets at least an equal share: an idle VM with a share of 0
         would estimate an unbounded queueing time.
         """
-        share = self.own / max(1.0, self.total)
-        return self.limit * max(share, 1 / self.entries)
+        share = self.local / max(1.0, self.total)
+        return self.limit * max(share, 1 / self.entry_vms)
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -100,7 +100,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Nowhere:
+class Unroutable:
     """No endpoint or data centre can accept the request now.
 
     ``retry_after`` is in seconds; the flags give the reason.
@@ -113,7 +113,7 @@
     loop: bool = False
 
 
-Choice = ToEndpoint | ToDataCentre | Nowhere
+Choice = ToEndpoint | ToDataCentre | Unroutable
 
 
 class AttemptOutcome(enum.Enum):
--- a/burdockdrum/routing/elsewhere.py
+++ b/burdockdrum/routing/remote_data_centres.py
@@ -12,9 +12,9 @@
 
 from burdockdrum.peers import VmIdentity
 from burdockdrum.ports import Clock
-from burdockdrum.routing.model import Demand
+from burdockdrum.routing.model import RoutingRequest
 from burdockdrum.routing.model import ToDataCentre
-from burdockdrum.routing.placements import PrefixPlacements
+from burdockdrum.routing.prefix_placements import PrefixPlacements
 from burdockdrum.routing.speed import Speed
 from burdockdrum.vms import ServiceSummary
 from burdockdrum.vms import VmDirectory
@@ -77,20 +77,24 @@
         self._forwards: dict[str, collections.deque[float]] = {}
         self._refused_at: dict[str, float] = {}
 
-    def find_options(self, demand: Demand, speed: Speed) -> list[RemoteOption]:
+    def find_options(
+        self, request: RoutingRequest, speed: Speed
+    ) -> list[RemoteOption]:
         """Return the eligible data centres, earliest finish first."""
-        summaries = self._find_summaries(demand)
-        depths = self._placements.depths(demand.prefix_hashes)
+        summaries = self._find_summaries(request)
+        depths = self._placements.depths(request.prefix_hashes)
         options = [
-            self._evaluate(name, summary, age, demand, speed, depths)
+            self._evaluate(name, summary, age, request, speed, depths)
             for name, (summary, age) in summaries.items()
         ]
         self._rng.shuffle(options)
         return sorted(options, key=lambda option: option.finish)
 
-    def forward(self, demand: Demand, data_centre: str) -> ToDataCentre:
+    def forward(
+        self, request: RoutingRequest, data_centre: str
+    ) -> ToDataCentre:
         """Record a forward; return the entry VMs in random order."""
-        self._placements.remember(demand.prefix_hashes, data_centre)
+        self._placements.remember(request.prefix_hashes, data_centre)
         forwards = self._forwards.setdefault(data_centre, collections.deque())
         forwards.append(self._clock.monotonic())
         entries = [
@@ -121,7 +125,7 @@
         return slots / (len(slots_by_data_centre) + 1)
 
     def _find_summaries(
-        self, demand: Demand
+        self, request: RoutingRequest
     ) -> dict[str, tuple[ServiceSummary, float]]:
         """Return the latest summary and its age by eligible data centre."""
         now = self._clock.monotonic()
@@ -133,16 +137,16 @@
             if (
                 name == own
                 or view.draining
-                or identity.region not in demand.regions
-                or name in demand.hops
-                or name in demand.excluded_data_centres
+                or identity.region not in request.regions
+                or name in request.hops
+                or name in request.excluded_data_centres
             ):
                 continue
             age = now - view.heard_at
             if name in found and found[name][1] <= age:
                 continue
             for summary in view.services:
-                if summary.service == demand.service and summary.endpoints:
+                if summary.service == request.service and summary.endpoints:
                     found[name] = (summary, age)
         return found
 
@@ -151,7 +155,7 @@
         name: str,
         summary: ServiceSummary,
         age: float,
-        demand: Demand,
+        request: RoutingRequest,
         speed: Speed,
         depths: dict[str, int],
     ) -> RemoteOption:
@@ -160,17 +164,17 @@
         free_capacity -= reserved_slots(summary.slots, self._spill_reserve)
         # Cached prefixes are local to a data centre: another one processes
         # the whole prompt, except for prefixes forwarded to it before.
-        blocks = len(demand.prefix_hashes)
+        blocks = len(request.prefix_hashes)
         cached_fraction = depths.get(name, 0) / blocks if blocks else 0.0
         prefill = (
-            demand.prompt_tokens
+            request.prompt_tokens
             * (1 - cached_fraction)
             * speed.prefill_seconds
         )
         refused = self._refused_recently(name)
         if refused:
             free_capacity = min(0.0, free_capacity)
-        run = demand.max_tokens * speed.decode_seconds
+        run = request.max_tokens * speed.decode_seconds
         wait = 0.0
         if free_capacity < 1:
             # Requests forwarded since the summary are queued there as well.
--- a/burdockdrum/routing/router.py
+++ b/burdockdrum/routing/router.py
@@ -8,20 +8,20 @@
 from burdockdrum.endpoints import EndpointRegistry
 from burdockdrum.ports import Clock
 from burdockdrum.routing.attempts import Attempt
-from burdockdrum.routing.elsewhere import MAX_HOPS
-from burdockdrum.routing.elsewhere import RemoteDataCentres
-from burdockdrum.routing.elsewhere import RemoteOption
-from burdockdrum.routing.elsewhere import reserved_slots
 from burdockdrum.routing.fleet import Fleet
 from burdockdrum.routing.fleet import Option
 from burdockdrum.routing.model import AttemptFacts
 from burdockdrum.routing.model import AttemptOutcome
 from burdockdrum.routing.model import CapacityShare
 from burdockdrum.routing.model import Choice
-from burdockdrum.routing.model import Demand
 from burdockdrum.routing.model import Estimate
-from burdockdrum.routing.model import Nowhere
+from burdockdrum.routing.model import RoutingRequest
 from burdockdrum.routing.model import ToEndpoint
+from burdockdrum.routing.model import Unroutable
+from burdockdrum.routing.remote_data_centres import MAX_HOPS
+from burdockdrum.routing.remote_data_centres import RemoteDataCentres
+from burdockdrum.routing.remote_data_centres import RemoteOption
+from burdockdrum.routing.remote_data_centres import reserved_slots
 from burdockdrum.settings import PolicySettings
 from burdockdrum.vms import VmDirectory
 from burdockdrum.vms import VmView
@@ -70,7 +70,9 @@
         self._numbers = itertools.count()
         self._listeners: list[Callable[[str], None]] = []
         # Set by admission: estimated queueing time here in seconds.
-        self.read_wait: Callable[[Demand], float] = lambda demand: 0.0
+        self.estimate_queue_seconds: Callable[[RoutingRequest], float] = (
+            lambda request: 0.0
+        )
 
     def now(self) -> float:
         """Return this VM's monotonic time in seconds."""
@@ -80,47 +82,47 @@
         """Register a function, called with the service as an attempt ends."""
         self._listeners.append(listener)
 
-    def choose(self, demand: Demand) -> Choice:
+    def choose(self, request: RoutingRequest) -> Choice:
         """Return where to send a request now."""
-        options = self._fleet.evaluate(demand)
-        if demand.hops:
-            return self._choose_for_forwarded(demand, options)
-        best = self._pick(options, demand)
+        options = self._fleet.evaluate(request)
+        if request.hops:
+            return self._choose_for_forwarded(request, options)
+        best = self._pick(options, request)
         remote_option = self._find_better_remote_option(
-            demand, best, self.read_wait(demand)
+            request, best, self.estimate_queue_seconds(request)
         )
         if remote_option is not None:
-            return self._remote.forward(demand, remote_option.data_centre)
+            return self._remote.forward(request, remote_option.data_centre)
         if best is not None:
             return _to_endpoint(best)
-        return self._make_refusal(demand)
+        return self._make_refusal(request)
 
-    def can_start(self, demand: Demand, *, wait: float = 0.0) -> bool:
+    def can_start(self, request: RoutingRequest, *, wait: float = 0.0) -> bool:
         """Return whether a request should start now, here or remotely.
 
         :param wait: estimated queueing time here in seconds
         """
-        options = self._fleet.evaluate(demand)
+        options = self._fleet.evaluate(request)
         with_capacity = [
             option for option in options if option.free_capacity >= 1
         ]
-        if demand.hops:
-            return self._can_accept_forwarded(demand, options)
+        if request.hops:
+            return self._can_accept_forwarded(request, options)
         if with_capacity:
             return True
-        return self._find_better_remote_option(demand, None, wait) is not None
+        return self._find_better_remote_option(request, None, wait) is not None
 
-    def estimate(self, demand: Demand) -> Estimate | None:
+    def estimate(self, request: RoutingRequest) -> Estimate | None:
         """Return the best estimate for a request that starts now."""
-        options = self._fleet.evaluate(demand)
+        options = self._fleet.evaluate(request)
         local = min(
             (option.estimate for option in options),
             key=lambda estimate: estimate.finish,
             default=None,
         )
-        if local is not None or demand.hops:
+        if local is not None or request.hops:
             return local
-        remote_options = self._find_remote_options(demand)
+        remote_options = self._find_remote_options(request)
         if not remote_options:
             return None
         best = remote_options[0]
@@ -128,13 +130,13 @@
             first_token=best.first_token, finish=best.finish, run=best.run
         )
 
-    def is_displaced(self, demand: Demand) -> bool:
+    def is_displaced(self, request: RoutingRequest) -> bool:
         """Return whether this data centre has no endpoint for a request."""
-        if self._vms.identity.region not in demand.regions:
+        if self._vms.identity.region not in request.regions:
             return True
-        return not self._endpoints.candidates(demand.service)
+        return not self._endpoints.candidates(request.service)
 
-    def note_forward_refused(self, data_centre: str) -> None:
+    def record_forward_refused(self, data_centre: str) -> None:
         """Record that a data centre refused a request as overloaded.
 
         It gets no forwards for a short time. The request need not exclude
@@ -142,15 +144,15 @@
         """
         self._remote.record_refusal(data_centre)
 
-    def begin(self, endpoint: Endpoint, demand: Demand) -> Attempt:
+    def begin(self, endpoint: Endpoint, request: RoutingRequest) -> Attempt:
         """Register an attempt that starts now."""
         tracker = self._fleet.track(endpoint)
         loads = self._fleet.estimate_loads([endpoint])
         option = self._fleet.evaluate_endpoint(
             endpoint,
             tracker,
-            demand,
-            self._fleet.depths(demand),
+            request,
+            self._fleet.depths(request),
             loads[endpoint.endpoint_id],
         )
         typical = self._fleet.typical_speed(endpoint.service)
@@ -162,7 +164,7 @@
             number=next(self._numbers),
             clock=self._clock,
             endpoint=endpoint,
-            demand=demand,
+            request=request,
             tracker=tracker,
             load=option.load,
             uncached_tokens=option.uncached_tokens,
@@ -173,32 +175,32 @@
         now = self.now()
         tracker.local_load.change(1, now)
         tracker.last_attempt_at = now
-        tracker.suspects += demand.isolated
+        tracker.suspects += request.isolated
         tracker.expect_first_token(
             attempt.number, now, option.estimate.first_token
         )
-        self._fleet.placements.remember(demand.prefix_hashes, tracker.name)
+        self._fleet.placements.remember(request.prefix_hashes, tracker.name)
         return attempt
 
-    def share(self, service: str) -> CapacityShare:
+    def capacity_share(self, service: str) -> CapacityShare:
         """Return this VM's share of its data centre's capacity."""
         now = self.now()
-        limit = own = total = 0.0
+        limit = local = total = 0.0
         candidates = self._endpoints.candidates(service)
         loads = self._fleet.estimate_loads(candidates)
         for endpoint in candidates:
             tracker = self._fleet.track(endpoint)
             limit += tracker.current_limit(now)
-            own += tracker.local_load.count
+            local += tracker.local_load.count
             total += loads[endpoint.endpoint_id]
         peers = self._peers_here()
         limit = limit or self._remote.equal_share(service)
         return CapacityShare(
             limit=limit,
-            own=own,
+            local=local,
             total=total,
-            entries=len(peers) + 1,
-            peers_wait=max(
+            entry_vms=len(peers) + 1,
+            peer_queue_seconds=max(
                 (
                     summary.queue_seconds
                     for view in peers
@@ -217,7 +219,9 @@
             if view.identity.data_centre == own and not view.draining
         ]
 
-    def _pick(self, options: list[Option], demand: Demand) -> Option | None:
+    def _pick(
+        self, options: list[Option], request: RoutingRequest
+    ) -> Option | None:
         """Return the best option of a small random sample.
 
         The sample is extended by the option with the longest cached prefix.
@@ -228,14 +232,14 @@
         """
         if not options:
             return None
-        if demand.isolated:
+        if request.isolated:
             return min(options, key=lambda option: option.load)
         now = self.now()
-        typical = self._fleet.typical_speed(demand.service)
+        typical = self._fleet.typical_speed(request.service)
         for option in options:
             # Only requests that may be retried are used as trial requests.
             due = option.tracker.is_due_for_trial(typical, now)
-            if due and demand.repeatable:
+            if due and request.repeatable:
                 return option
         sample = options
         if len(options) > self.policy.choices:
@@ -243,7 +247,7 @@
                 options, key=lambda option: option.uncached_tokens
             )
             sample = self._rng.sample(options, self.policy.choices)
-            if by_cached_prefix[0].uncached_tokens < demand.prompt_tokens:
+            if by_cached_prefix[0].uncached_tokens < request.prompt_tokens:
                 sample.append(by_cached_prefix[0])
         with_capacity = [
             option for option in sample if option.free_capacity >= 1
@@ -260,20 +264,22 @@
             ),
         )
 
-    def _find_remote_options(self, demand: Demand) -> list[RemoteOption]:
-        if len(demand.hops) >= MAX_HOPS:
+    def _find_remote_options(
+        self, request: RoutingRequest
+    ) -> list[RemoteOption]:
+        if len(request.hops) >= MAX_HOPS:
             return []
-        speed = self._fleet.typical_speed(demand.service)
-        return self._remote.find_options(demand, speed)
+        speed = self._fleet.typical_speed(request.service)
+        return self._remote.find_options(request, speed)
 
     def _find_better_remote_option(
-        self, demand: Demand, best: Option | None, wait: float
+        self, request: RoutingRequest, best: Option | None, wait: float
     ) -> RemoteOption | None:
         """Return a data centre that would finish the request sooner."""
         if best is not None and best.free_capacity >= 1:
             return None
-        remote_options = self._find_remote_options(demand)
-        estimate = best.estimate if best else self._estimate_locally(demand)
+        remote_options = self._find_remote_options(request)
+        estimate = best.estimate if best else self._estimate_locally(request)
         if estimate is None:
             # There is no local endpoint: the request may also be queued
             # remotely, by its rank.
@@ -288,8 +294,8 @@
                 return remote_option
         return None
 
-    def _estimate_locally(self, demand: Demand) -> Estimate | None:
-        options = self._fleet.evaluate(demand)
+    def _estimate_locally(self, request: RoutingRequest) -> Estimate | None:
+        options = self._fleet.evaluate(request)
         if not options:
             return None
         return min(
@@ -297,7 +303,7 @@
         )
 
     def _choose_for_forwarded(
-        self, demand: Demand, options: list[Option]
+        self, request: RoutingRequest, options: list[Option]
     ) -> Choice:
         """Accept a forwarded request, or refuse it at once.
 
@@ -305,40 +311,44 @@
         of each other would forward it back and forth.
         """
         if not options:
-            return self._make_refusal(demand)
-        if not self.can_start(demand):
-            return Nowhere(message="no free capacity for forwarded requests")
-        best = self._pick(options, demand)
+            return self._make_refusal(request)
+        if not self.can_start(request):
+            return Unroutable(
+                message="no free capacity for forwarded requests"
+            )
+        best = self._pick(options, request)
         assert best is not None
         return _to_endpoint(best)
 
     def _can_accept_forwarded(
-        self, demand: Demand, options: list[Option]
+        self, request: RoutingRequest, options: list[Option]
     ) -> bool:
         free_capacity = sum(
             max(0.0, option.free_capacity) for option in options
         )
         slots = sum(option.endpoint.slots for option in options)
         has_capacity = any(option.free_capacity >= 1 for option in options)
-        if demand.displaced:
+        if request.displaced:
             # It can't run where it came from. Local callers of the same
             # rank are still ahead of it in the queue.
             return has_capacity
         reserve = reserved_slots(slots, self.policy.spill_reserve)
         return has_capacity and free_capacity >= 1 + reserve / 2
 
-    def _make_refusal(self, demand: Demand) -> Nowhere:
-        if len(demand.hops) >= MAX_HOPS:
-            return Nowhere(message="too many hops", loop=True)
-        if self._find_remote_options(demand) or demand.excluded_endpoints:
-            return Nowhere(message="no endpoint has free capacity or responds")
-        known = self._endpoints.candidates(demand.service)
-        if known and self._vms.identity.region in demand.regions:
-            return Nowhere(message="all endpoints are unavailable")
-        return Nowhere(
-            message=f"no live endpoint of {demand.service!r} in the "
+    def _make_refusal(self, request: RoutingRequest) -> Unroutable:
+        if len(request.hops) >= MAX_HOPS:
+            return Unroutable(message="too many hops", loop=True)
+        if self._find_remote_options(request) or request.excluded_endpoints:
+            return Unroutable(
+                message="no endpoint has free capacity or responds"
+            )
+        known = self._endpoints.candidates(request.service)
+        if known and self._vms.identity.region in request.regions:
+            return Unroutable(message="all endpoints are unavailable")
+        return Unroutable(
+            message=f"no live endpoint of {request.service!r} in the "
             "regions that the client's residency and the service allow: "
-            f"{sorted(demand.regions)}",
+            f"{sorted(request.regions)}",
             no_endpoint=True,
         )
 
@@ -373,7 +383,7 @@
         was_overdue = tracker.is_overdue(attempt.number, now)
         tracker.clear_first_token(attempt.number)
         tracker.local_load.change(-1, now)
-        tracker.suspects -= attempt.demand.isolated
+        tracker.suspects -= attempt.request.isolated
         if facts.outcome is AttemptOutcome.COMPLETED:
             self._record_completion(attempt, facts)
             tracker.health.record_success(now)
@@ -391,13 +401,13 @@
         change = facts.total_seconds - tracker.service_seconds
         tracker.service_seconds += _SERVICE_SECONDS_WEIGHT * change
         if facts.first_token_seconds is not None:
-            tokens = facts.tokens or attempt.demand.max_tokens
+            tokens = facts.tokens or attempt.request.max_tokens
             tracker.speed.record_decode(
                 seconds=facts.total_seconds - facts.first_token_seconds,
                 tokens=tokens - 1,
             )
 
-    def room(self, service: str) -> float:
+    def free_capacity(self, service: str) -> float:
         """Return how many requests could start at once here."""
         return self._fleet.free_capacity(service)
 
--- a/scripts/bench/routing.py
+++ b/scripts/bench/routing.py
@@ -15,8 +15,8 @@
 from burdockdrum.endpoints import EndpointRegistry
 from burdockdrum.peers import VmIdentity
 from burdockdrum.routing import AttemptOutcome
-from burdockdrum.routing import Demand
 from burdockdrum.routing import Router
+from burdockdrum.routing import RoutingRequest
 from burdockdrum.routing import ToEndpoint
 from burdockdrum.system_ports import SystemClock
 from burdockdrum.timeline import HybridClock
@@ -74,8 +74,8 @@
     """Return the seconds that a request costs."""
     router = make_router(endpoints)
     rng = random.Random(1)
-    demands = [
-        Demand(
+    requests = [
+        RoutingRequest(
             service="planner",
             regions=frozenset({"north"}),
             deadline=router.now() + 60,
@@ -88,11 +88,11 @@
         for document in rng.choices(range(DOCUMENTS), k=REQUESTS)
     ]
     began = time.process_time()
-    for demand in demands:
-        choice = router.choose(demand)
+    for request in requests:
+        choice = router.choose(request)
         assert isinstance(choice, ToEndpoint)
-        attempt = router.begin(choice.endpoint, demand)
-        attempt.note_first_token()
+        attempt = router.begin(choice.endpoint, request)
+        attempt.record_first_token()
         attempt.finish(AttemptOutcome.COMPLETED, tokens=100)
     return (time.process_time() - began) / REQUESTS
 
--- a/scripts/experiment/driver.py
+++ b/scripts/experiment/driver.py
@@ -17,10 +17,10 @@
 from burdockdrum.emulator import Work
 from burdockdrum.endpoints import Endpoint
 from burdockdrum.routing import AttemptOutcome
-from burdockdrum.routing import Demand
-from burdockdrum.routing import Nowhere
+from burdockdrum.routing import RoutingRequest
 from burdockdrum.routing import ToDataCentre
 from burdockdrum.routing import ToEndpoint
+from burdockdrum.routing import Unroutable
 from burdockdrum.verdicts import Refusal
 from burdockdrum.verdicts import RefusalCode
 from burdockdrum.verdicts import Verdict
@@ -93,12 +93,12 @@
         deadline = sent_at + arrival.request_class.deadline
         entries = self._world.entries_by_region[arrival.region]
         entry = self._rng.choice(entries)
-        demand = self._make_demand(arrival, deadline)
+        request = self._make_request(arrival, deadline)
         try:
             async with asyncio.timeout_at(deadline):
                 await asyncio.sleep(CALLER_SECONDS)
                 exchange = _Exchange(self._world, arrival, outcome, sent_at)
-                await exchange.serve(entry, demand, CALLER_SECONDS)
+                await exchange.serve(entry, request, CALLER_SECONDS)
                 await asyncio.sleep(CALLER_SECONDS)
             outcome.ending = Ending.WHOLE
         except Refusal as refusal:
@@ -110,9 +110,11 @@
             outcome.ending = Ending.LATE
         outcome.finish = _now() - sent_at
 
-    def _make_demand(self, arrival: Arrival, deadline: float) -> Demand:
+    def _make_request(
+        self, arrival: Arrival, deadline: float
+    ) -> RoutingRequest:
         chosen = arrival.request_class
-        return Demand(
+        return RoutingRequest(
             service=chosen.service,
             regions=frozenset(
                 {arrival.region} if arrival.bound else self._world.user.regions
@@ -137,41 +139,47 @@
         self._outcome = outcome
         self._sent_at = sent_at
 
-    async def serve(self, entry: Entry, demand: Demand, back: float) -> None:
+    async def serve(
+        self, entry: Entry, request: RoutingRequest, back: float
+    ) -> None:
         """Serve at an entry.
 
         :param back: seconds that a token takes from there to the caller
         """
         for _ in range(MAX_TRIES + MAX_FORWARDS):
-            permit = await entry.admission.admit("client", demand)
+            permit = await entry.admission.admit("client", request)
             try:
-                match entry.router.choose(demand):
+                match entry.router.choose(request):
                     case ToEndpoint(endpoint=endpoint):
                         name = endpoint.endpoint_id
-                        if await self._attempt(entry, endpoint, demand, back):
+                        if await self._attempt(entry, endpoint, request, back):
                             return
-                        tried = demand.excluded_endpoints | {name}
-                        demand = replace(demand, excluded_endpoints=tried)
+                        tried = request.excluded_endpoints | {name}
+                        request = replace(request, excluded_endpoints=tried)
                     case ToDataCentre() as choice:
-                        if await self._forward(entry, choice, demand, back):
+                        if await self._forward(entry, choice, request, back):
                             return
-                        entry.router.note_forward_refused(choice.data_centre)
-                    case Nowhere() as nowhere:
-                        raise _overloaded(nowhere.message)
+                        entry.router.record_forward_refused(choice.data_centre)
+                    case Unroutable() as unroutable:
+                        raise _overloaded(unroutable.message)
             finally:
                 permit.release(completed=True)
         raise _overloaded("tried too often")
 
     async def _forward(
-        self, entry: Entry, choice: ToDataCentre, demand: Demand, back: float
+        self,
+        entry: Entry,
+        choice: ToDataCentre,
+        request: RoutingRequest,
+        back: float,
     ) -> bool:
         """Pass the request on; say whether it was answered there."""
         entries = self._world.entries_by_region[choice.data_centre]
         vm_id = choice.entries[0].vm_id
         other = next(e for e in entries if e.identity.vm_id == vm_id)
-        hops = (*demand.hops, entry.identity.data_centre)
-        displaced = entry.router.is_displaced(demand)
-        passed_on = replace(demand, hops=hops, displaced=displaced)
+        hops = (*request.hops, entry.identity.data_centre)
+        displaced = entry.router.is_displaced(request)
+        passed_on = replace(request, hops=hops, displaced=displaced)
         await asyncio.sleep(WIDE_AREA_SECONDS)
         try:
             await self.serve(other, passed_on, back + WIDE_AREA_SECONDS)
@@ -182,11 +190,15 @@
             await asyncio.sleep(WIDE_AREA_SECONDS)
 
     async def _attempt(
-        self, entry: Entry, endpoint: Endpoint, demand: Demand, back: float
+        self,
+        entry: Entry,
+        endpoint: Endpoint,
+        request: RoutingRequest,
+        back: float,
     ) -> bool:
         """Run at an endpoint; say whether the answer was whole."""
         engine = self._world.hosts_by_id[endpoint.endpoint_id].engine
-        attempt = entry.router.begin(endpoint, demand)
+        attempt = entry.router.begin(endpoint, request)
         self._outcome.tries += 1
         outcome = AttemptOutcome.FAILED
         work = Work(
@@ -194,16 +206,16 @@
             chat=True,
             stream=True,
             prompt=b"",
-            max_tokens=demand.max_tokens,
-            rank=demand.rank,
-            prompt_tokens=demand.prompt_tokens,
-            prefix_hashes=demand.prefix_hashes,
+            max_tokens=request.max_tokens,
+            rank=request.rank,
+            prompt_tokens=request.prompt_tokens,
+            prefix_hashes=request.prefix_hashes,
         )
         try:
             await asyncio.sleep(LOCAL_SECONDS)
             async with contextlib.aclosing(engine.generate(work)) as tokens:
                 async for _ in tokens:
-                    attempt.note_first_token()
+                    attempt.record_first_token()
                     self._note_first_token(back + LOCAL_SECONDS)
             await asyncio.sleep(LOCAL_SECONDS)
             outcome = AttemptOutcome.COMPLETED
@@ -218,7 +230,7 @@
                 outcome = AttemptOutcome.TIMED_OUT
             raise
         finally:
-            attempt.finish(outcome, tokens=demand.max_tokens)
+            attempt.finish(outcome, tokens=request.max_tokens)
         return outcome is AttemptOutcome.COMPLETED
 
     def _note_first_token(self, back: float) -> None:
--- a/scripts/experiment/policies.py
+++ b/scripts/experiment/policies.py
@@ -12,11 +12,11 @@
 from burdockdrum.admission import Permit
 from burdockdrum.endpoints import Endpoint
 from burdockdrum.routing import Choice
-from burdockdrum.routing import Demand
-from burdockdrum.routing import Nowhere
 from burdockdrum.routing import Router
+from burdockdrum.routing import RoutingRequest
 from burdockdrum.routing import ToDataCentre
 from burdockdrum.routing import ToEndpoint
+from burdockdrum.routing import Unroutable
 from burdockdrum.settings import PolicySettings
 from scripts.experiment.workload import User
 
@@ -28,7 +28,7 @@
         """Take the arguments of an admission and use none."""
         self.running = 0
 
-    async def admit(self, client_id: str, demand: Demand) -> Permit:
+    async def admit(self, client_id: str, request: RoutingRequest) -> Permit:
         """Return a permit."""
         self.running += 1
         return Permit(admission=self)  # type: ignore[arg-type]
@@ -53,16 +53,16 @@
         super().__init__(**options)
         self._turns = itertools.count()
 
-    def choose(self, demand: Demand) -> Choice:
+    def choose(self, request: RoutingRequest) -> Choice:
         """Say where a request should go now."""
-        here = self._here(demand)
+        here = self._here(request)
         if here:
             return ToEndpoint(endpoint=self.pick(here))
-        if demand.hops:
-            return Nowhere(message="no endpoint")
-        return self._go_to_any(demand)
+        if request.hops:
+            return Unroutable(message="no endpoint")
+        return self._go_to_any(request)
 
-    def room(self, service: str) -> float:
+    def free_capacity(self, service: str) -> float:
         """Return the free slots by the last reports."""
         return sum(
             max(0, e.slots - e.running - e.waiting)
@@ -73,29 +73,29 @@
         """Choose among the endpoints here."""
         return self._rng.choice(endpoints)
 
-    def _here(self, demand: Demand) -> list[Endpoint]:
+    def _here(self, request: RoutingRequest) -> list[Endpoint]:
         return [
             endpoint
-            for endpoint in self._endpoints.candidates(demand.service)
-            if endpoint.endpoint_id not in demand.excluded_endpoints
+            for endpoint in self._endpoints.candidates(request.service)
+            if endpoint.endpoint_id not in request.excluded_endpoints
         ]
 
-    def _rooms(self, demand: Demand) -> dict[str, int]:
+    def _rooms(self, request: RoutingRequest) -> dict[str, int]:
         own = self._vms.identity.data_centre
         return {
             view.identity.data_centre: summary.room
             for view in self._vms.live_vms()[1:]
             for summary in view.services
-            if summary.service == demand.service
+            if summary.service == request.service
             and view.identity.data_centre != own
-            and view.identity.region in demand.regions
-            and view.identity.data_centre not in demand.excluded_data_centres
+            and view.identity.region in request.regions
+            and view.identity.data_centre not in request.excluded_data_centres
         }
 
-    def _go_to_any(self, demand: Demand) -> Choice:
-        rooms = self._rooms(demand)
+    def _go_to_any(self, request: RoutingRequest) -> Choice:
+        rooms = self._rooms(request)
         if not rooms:
-            return Nowhere(message="no data centre")
+            return Unroutable(message="no data centre")
         return self._go_to(self._rng.choice(sorted(rooms)))
 
     def _go_to(self, data_centre: str) -> ToDataCentre:
@@ -123,14 +123,14 @@
 class LeastLoadRouter(Baseline):
     """Least reported load here; where no room is reported, elsewhere."""
 
-    def choose(self, demand: Demand) -> Choice:
+    def choose(self, request: RoutingRequest) -> Choice:
         """Say where a request should go now."""
-        here = self._here(demand)
+        here = self._here(request)
         full = all(e.running + e.waiting >= e.slots for e in here)
-        rooms = self._rooms(demand)
-        if not demand.hops and full and max(rooms.values(), default=0) > 0:
+        rooms = self._rooms(request)
+        if not request.hops and full and max(rooms.values(), default=0) > 0:
             return self._go_to(max(rooms, key=lambda name: rooms[name]))
-        return super().choose(demand)
+        return super().choose(request)
 
     def pick(self, endpoints: list[Endpoint]) -> Endpoint:
         """Choose the least loaded by reports."""
@@ -146,26 +146,26 @@
 class LocalRouter(LeastLoadRouter):
     """Least reported load here, and nowhere else."""
 
-    def choose(self, demand: Demand) -> Choice:
+    def choose(self, request: RoutingRequest) -> Choice:
         """Say where a request should go now."""
-        here = self._here(demand)
+        here = self._here(request)
         if not here:
-            return Nowhere(message="no endpoint here")
+            return Unroutable(message="no endpoint here")
         return ToEndpoint(endpoint=self.pick(here))
 
 
 class AlwaysSpillRouter(LeastLoadRouter):
     """The data centre with the most room, wherever it is."""
 
-    def choose(self, demand: Demand) -> Choice:
+    def choose(self, request: RoutingRequest) -> Choice:
         """Say where a request should go now."""
-        here = self._here(demand)
-        rooms = self._rooms(demand)
+        here = self._here(request)
+        rooms = self._rooms(request)
         own_room = sum(e.slots - e.running - e.waiting for e in here)
         best = max(rooms, key=lambda name: rooms[name], default=None)
-        if not demand.hops and best and (rooms[best] > own_room or not here):
+        if not request.hops and best and (rooms[best] > own_room or not here):
             return self._go_to(best)
-        return Baseline.choose(self, demand)
+        return Baseline.choose(self, request)
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/scripts/experiment/world.py
+++ b/scripts/experiment/world.py
@@ -268,6 +268,6 @@
         service=service,
         endpoints=len(live),
         slots=sum(endpoint.slots for endpoint in live),
-        room=int(entry.router.room(service)),
+        room=int(entry.router.free_capacity(service)),
         queue_seconds=entry.admission.queue_seconds(service),
     )
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -11,8 +11,8 @@
 from burdockdrum.endpoints import Report
 from burdockdrum.peers import VmIdentity
 from burdockdrum.routing import AttemptOutcome
-from burdockdrum.routing import Demand
 from burdockdrum.routing import Router
+from burdockdrum.routing import RoutingRequest
 from burdockdrum.routing import ToEndpoint
 from burdockdrum.settings import PolicySettings
 from burdockdrum.testing import run_virtual
@@ -75,16 +75,16 @@
             asyncio.create_task(self._report()),
         ]
 
-    async def call(self, client: str = "crew", *, seconds=60.0, **demand):
+    async def call(self, client: str = "crew", *, seconds=60.0, **options):
         """Run a request; return its outcome and how long it took."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        request = Demand(
+        request = RoutingRequest(
             service="planner",
             regions=frozenset({"north"}),
             deadline=started_at + seconds,
             max_tokens=TOKENS,
-            **demand,
+            **options,
         )
         try:
             permit = await self.admission.admit(client, request)
@@ -95,7 +95,7 @@
         attempt = self.router.begin(choice.endpoint, request)
         self.running += 1
         await asyncio.sleep(0.02)
-        attempt.note_first_token()
+        attempt.record_first_token()
         await asyncio.sleep(RUN_SECONDS)
         self.running -= 1
         attempt.finish(AttemptOutcome.COMPLETED, tokens=TOKENS)
--- a/tests/admission/test_quotas.py
+++ b/tests/admission/test_quotas.py
@@ -14,7 +14,7 @@
 from burdockdrum.resources import Resource
 from burdockdrum.resources import ResourceKey
 from burdockdrum.resources import TeamSpec
-from burdockdrum.routing import Demand
+from burdockdrum.routing import RoutingRequest
 from burdockdrum.settings import read_settings
 from burdockdrum.testing import run_virtual
 from burdockdrum.testing import VirtualClock
@@ -66,8 +66,8 @@
     )
 
 
-def make_demand() -> Demand:
-    return Demand(
+def make_request() -> RoutingRequest:
+    return RoutingRequest(
         service="planner", regions=frozenset({"north"}), deadline=1e6
     )
 
@@ -109,7 +109,7 @@
     async def acquire(self, vm: str, client: str = "flooding"):
         """Return the reservation, or None if the request was refused."""
         try:
-            return await self.enforcers[vm].acquire(client, make_demand())
+            return await self.enforcers[vm].acquire(client, make_request())
         except Refusal as refusal:
             self.assertIs(RefusalCode.QUOTA, refusal.code)
             self.assertIs(Verdict.NOT_RUN, refusal.verdict)
@@ -232,18 +232,18 @@
     def test_tokens_that_were_not_generated_are_refunded(self):
         async def main():
             await self.start(Quota(tokens_per_second=300))
-            demand = Demand(
+            request = RoutingRequest(
                 service="planner",
                 regions=frozenset({"north"}),
                 deadline=1e6,
                 max_tokens=1000,
             )
             enforcer = self.enforcers["a"]
-            reservation = await enforcer.acquire("quiet", demand)
+            reservation = await enforcer.acquire("quiet", request)
             with self.assertRaises(Refusal):
-                await enforcer.acquire("quiet", demand)
+                await enforcer.acquire("quiet", request)
             reservation.release(tokens=10)
-            self.assertIsNotNone(await enforcer.acquire("quiet", demand))
+            self.assertIsNotNone(await enforcer.acquire("quiet", request))
             await self.cluster.stop()
 
         run_virtual(main())
--- a/tests/daemon/test_whole_path.py
+++ b/tests/daemon/test_whole_path.py
@@ -201,9 +201,9 @@
         returned = []
         wait_again = Admission.wait_again
 
-        async def note(admission, client_id, demand):
+        async def note(admission, client_id, request):
             returned.append(client_id)
-            await wait_again(admission, client_id, demand)
+            await wait_again(admission, client_id, request)
 
         async def use(caller):
             calls = [complete(caller, f"plan {i}") for i in range(8 * SLOTS)]
--- a/tests/histories/test_checkers.py
+++ b/tests/histories/test_checkers.py
@@ -17,7 +17,7 @@
 from burdockdrum.requests.exchange import Exchange
 from burdockdrum.requests.residency import find_allowed_regions
 from burdockdrum.requests.service import RequestService
-from burdockdrum.routing import Demand
+from burdockdrum.routing import RoutingRequest
 from burdockdrum.testing import run_virtual
 from burdockdrum.verdicts import Refusal
 from burdockdrum.verdicts import RefusalCode
@@ -84,9 +84,9 @@
         # No summaries arrive any more and the engines of two regions are
         # gone: each thinks that the other has some. The path is not looked
         # at, so a request is thrown back and forth.
-        original = Exchange.make_demand
+        original = Exchange.make_routing_request
 
-        def forget_path(exchange: Exchange) -> Demand:
+        def forget_path(exchange: Exchange) -> RoutingRequest:
             return replace(original(exchange), hops=())
 
         plan = [
@@ -96,7 +96,7 @@
         ]
         history = run(
             plan,
-            (Exchange, "make_demand", forget_path),
+            (Exchange, "make_routing_request", forget_path),
             (Exchange, "_check_forward", lambda *_: None),
             (RequestService, "_check_hops", lambda *_: None),
         )
--- a/tests/routing/support.py
+++ b/tests/routing/support.py
@@ -91,10 +91,10 @@
     def _count(self, router) -> None:
         begin = router.begin
 
-        def count(endpoint, demand):
+        def count(endpoint, request):
             tens = int(asyncio.get_running_loop().time() // 10)
             self.begun[(endpoint.endpoint_id, tens)] += 1
-            return begin(endpoint, demand)
+            return begin(endpoint, request)
 
         router.begin = count
 
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -7,9 +7,9 @@
 from burdockdrum.endpoints import Announcement
 from burdockdrum.endpoints import EndpointRegistry
 from burdockdrum.routing import AttemptOutcome
-from burdockdrum.routing import Demand
-from burdockdrum.routing import Nowhere
 from burdockdrum.routing import Router
+from burdockdrum.routing import RoutingRequest
+from burdockdrum.routing import Unroutable
 from burdockdrum.testing import run_virtual
 from burdockdrum.testing import VirtualClock
 from burdockdrum.timeline import HybridClock
@@ -46,8 +46,8 @@
     )
 
 
-def make_demand(prefix: int = 0, **changes) -> Demand:
-    return Demand(
+def make_request(prefix: int = 0, **changes) -> RoutingRequest:
+    return RoutingRequest(
         service="planner",
         regions=frozenset({"north"}),
         deadline=1e6,
@@ -66,13 +66,15 @@
             router = make_router()
             chosen_by_prefix = {}
             for prefix in range(20):
-                chosen = router.choose(make_demand(prefix)).endpoint
+                chosen = router.choose(make_request(prefix)).endpoint
                 chosen_by_prefix[prefix] = chosen.endpoint_id
-                attempt = router.begin(chosen, make_demand(prefix))
-                attempt.note_first_token()
+                attempt = router.begin(chosen, make_request(prefix))
+                attempt.record_first_token()
                 attempt.finish(AttemptOutcome.COMPLETED, tokens=100)
             again = {
-                prefix: router.choose(make_demand(prefix)).endpoint.endpoint_id
+                prefix: router.choose(
+                    make_request(prefix)
+                ).endpoint.endpoint_id
                 for prefix in chosen_by_prefix
             }
             self.assertEqual(chosen_by_prefix, again)
@@ -85,7 +87,7 @@
             router = make_router(
                 adapters_of=lambda number: ["verge"] if number == 77 else []
             )
-            choice = router.choose(make_demand(adapter="verge"))
+            choice = router.choose(make_request(adapter="verge"))
             self.assertEqual("e77", choice.endpoint.endpoint_id)
 
         run_virtual(main())
@@ -93,6 +95,6 @@
     def test_prefill_only_endpoints_are_not_selected(self):
         async def main():
             router = make_router(role="prefill")
-            self.assertIsInstance(router.choose(make_demand()), Nowhere)
+            self.assertIsInstance(router.choose(make_request()), Unroutable)
 
         run_virtual(main())
--- a/tests/routing/test_spill.py
+++ b/tests/routing/test_spill.py
@@ -9,11 +9,11 @@
 from burdockdrum.endpoints import EndpointRegistry
 from burdockdrum.peers import VmIdentity
 from burdockdrum.routing import AttemptOutcome
-from burdockdrum.routing import Demand
-from burdockdrum.routing import Nowhere
 from burdockdrum.routing import Router
+from burdockdrum.routing import RoutingRequest
 from burdockdrum.routing import ToDataCentre
 from burdockdrum.routing import ToEndpoint
+from burdockdrum.routing import Unroutable
 from burdockdrum.testing import run_virtual
 from burdockdrum.testing import VirtualClock
 from burdockdrum.timeline import HybridClock
@@ -90,12 +90,12 @@
 
     def fill(self, count: int) -> None:
         for _ in range(count):
-            choice = self.router.choose(make_demand(hops=()))
+            choice = self.router.choose(make_request(hops=()))
             if isinstance(choice, ToEndpoint):
-                self.router.begin(choice.endpoint, make_demand())
+                self.router.begin(choice.endpoint, make_request())
 
 
-def make_demand(**changes) -> Demand:
+def make_request(**changes) -> RoutingRequest:
     fields = {
         "service": "planner",
         "regions": REGIONS,
@@ -104,15 +104,15 @@
         "max_tokens": 100,
         **changes,
     }
-    return Demand(**fields)
+    return RoutingRequest(**fields)
 
 
-def choose(*, slots: int, load: int, others, **demand):
+def choose(*, slots: int, load: int, others, **changes):
     async def main():
         local = LocalDataCentre(slots=slots, others=others)
         local.fill(load)
-        local.router.read_wait = lambda demand: 3.0
-        return local.router.choose(make_demand(**demand))
+        local.router.estimate_queue_seconds = lambda request: 3.0
+        return local.router.choose(make_request(**changes))
 
     return run_virtual(main())
 
@@ -143,7 +143,7 @@
         choice = choose(
             slots=0, load=0, others=others, regions=frozenset({"north"})
         )
-        self.assertIsInstance(choice, Nowhere)
+        self.assertIsInstance(choice, Unroutable)
         self.assertTrue(choice.no_endpoint)
 
     def test_one_summary_does_not_attract_all_requests(self):
@@ -155,8 +155,8 @@
         async def main():
             local = LocalDataCentre(slots=1, others=[make_view("south", 6)])
             local.fill(1)
-            local.router.read_wait = lambda demand: 3.0
-            choices = [local.router.choose(make_demand()) for _ in range(20)]
+            local.router.estimate_queue_seconds = lambda request: 3.0
+            choices = [local.router.choose(make_request()) for _ in range(20)]
             return sum(isinstance(c, ToDataCentre) for c in choices)
 
         self.assertLessEqual(run_virtual(main()), 5)
@@ -174,10 +174,10 @@
         others = [make_view("south", 16), make_view("west", 16)]
         for load in (4, 9):
             choice = choose(slots=4, load=load, others=others, hops=("south",))
-            self.assertIsInstance(choice, Nowhere)
+            self.assertIsInstance(choice, Unroutable)
             self.assertFalse(choice.loop)
         choice = choose(slots=0, load=0, others=others, hops=("south",))
-        self.assertIsInstance(choice, Nowhere)
+        self.assertIsInstance(choice, Unroutable)
 
     def test_receiver_outside_the_residency_refuses(self):
         choice = choose(
@@ -187,13 +187,13 @@
             hops=("south",),
             regions=frozenset({"south", "west"}),
         )
-        self.assertIsInstance(choice, Nowhere)
+        self.assertIsInstance(choice, Unroutable)
 
     def test_receiver_reserves_capacity_for_local_callers(self):
         free = choose(slots=8, load=2, others=[], hops=("south",))
         self.assertIsInstance(free, ToEndpoint)
         tight = choose(slots=8, load=7, others=[], hops=("south",))
-        self.assertIsInstance(tight, Nowhere)
+        self.assertIsInstance(tight, Unroutable)
         displaced = choose(
             slots=8, load=7, others=[], hops=("south",), displaced=True
         )
@@ -202,15 +202,17 @@
     def test_suspect_runs_alone(self):
         async def main():
             local = LocalDataCentre(slots=8, others=[])
-            suspect = make_demand(isolated=True)
+            suspect = make_request(isolated=True)
             choice = local.router.choose(suspect)
             attempt = local.router.begin(choice.endpoint, suspect)
-            self.assertIsInstance(local.router.choose(make_demand()), Nowhere)
+            self.assertIsInstance(
+                local.router.choose(make_request()), Unroutable
+            )
             await asyncio.sleep(0.1)
-            attempt.note_first_token()
+            attempt.record_first_token()
 
             attempt.finish(AttemptOutcome.COMPLETED)
-            choice = local.router.choose(make_demand())
+            choice = local.router.choose(make_request())
             self.assertIsInstance(choice, ToEndpoint)
 
         run_virtual(main())
