--- a/burdockdrum/endpoints/__init__.py
+++ b/burdockdrum/endpoints/__init__.py
@@ -8,13 +8,13 @@
 from burdockdrum.endpoints.announcements import CacheEvent
 from burdockdrum.endpoints.announcements import LeaseGrant
 from burdockdrum.endpoints.announcements import Report
-from burdockdrum.endpoints.cache import PrefixCache
-from burdockdrum.endpoints.cache import PREFIXES_AN_ENDPOINT
 from burdockdrum.endpoints.model import Endpoint
+from burdockdrum.endpoints.prefix_cache import MAX_PREFIXES_PER_ENDPOINT
+from burdockdrum.endpoints.prefix_cache import PrefixCache
 from burdockdrum.endpoints.registry import COPY_LEASE_SECONDS
 from burdockdrum.endpoints.registry import EndpointRegistry
 from burdockdrum.endpoints.registry import LEASE_SECONDS
-from burdockdrum.endpoints.registry import REPORT_SECONDS
+from burdockdrum.endpoints.registry import REPORT_INTERVAL_SECONDS
 from burdockdrum.endpoints.registry import SLOW_REPORT_MIN_ENDPOINTS
 from burdockdrum.endpoints.services import add_services
 
@@ -27,9 +27,9 @@
     "EndpointRegistry",
     "LEASE_SECONDS",
     "LeaseGrant",
-    "SLOW_REPORT_MIN_ENDPOINTS",
+    "MAX_PREFIXES_PER_ENDPOINT",
     "PrefixCache",
-    "PREFIXES_AN_ENDPOINT",
     "Report",
-    "REPORT_SECONDS",
+    "REPORT_INTERVAL_SECONDS",
+    "SLOW_REPORT_MIN_ENDPOINTS",
 ]
--- a/burdockdrum/endpoints/model.py
+++ b/burdockdrum/endpoints/model.py
@@ -12,6 +12,7 @@
 
     ``reported_at``, ``lease_until`` and ``known_since`` are on this VM's
     monotonic clock; ``sequence`` is the number of its last report.
+    Operators read the fields, by these names, from GET /v1/endpoints.
     """
 
     endpoint_id: str
--- a/burdockdrum/endpoints/cache.py
+++ b/burdockdrum/endpoints/prefix_cache.py
@@ -10,7 +10,7 @@
 from burdockdrum.endpoints.announcements import Report
 
 # About 100 bytes each: 160 endpoints need at most 4 MB.
-PREFIXES_AN_ENDPOINT = 256
+MAX_PREFIXES_PER_ENDPOINT = 256
 _HASH_BITS = 32
 _MASK = (1 << _HASH_BITS) - 1
 
@@ -63,10 +63,10 @@
         for prefix in prefixes:
             self._prefixes[prefix] = None
             self._prefixes.move_to_end(prefix)
-        while len(self._prefixes) > PREFIXES_AN_ENDPOINT:
+        while len(self._prefixes) > MAX_PREFIXES_PER_ENDPOINT:
             self._prefixes.popitem(last=False)
 
-    def take_fresh(self, limit: int) -> list[int]:
+    def pop_unpublished(self, limit: int) -> list[int]:
         """Return and clear the latest prefixes that were not yet published."""
         fresh = self._unpublished[-limit:] if limit else []
         self._unpublished.clear()
--- a/burdockdrum/endpoints/registry.py
+++ b/burdockdrum/endpoints/registry.py
@@ -13,18 +13,18 @@
 from burdockdrum.endpoints.announcements import Announcement
 from burdockdrum.endpoints.announcements import LeaseGrant
 from burdockdrum.endpoints.announcements import Report
-from burdockdrum.endpoints.cache import PrefixCache
 from burdockdrum.endpoints.damping import FlapDamping
 from burdockdrum.endpoints.model import Endpoint
+from burdockdrum.endpoints.prefix_cache import PrefixCache
 from burdockdrum.ports import Clock
 from burdockdrum.timeline import Timeline
 
 LEASE_SECONDS = 3.0
-REPORT_SECONDS = 0.5
+REPORT_INTERVAL_SECONDS = 0.5
 # From this number of endpoints on, they report less often, to limit the
 # requests to entry VMs; one stale report matters less among many endpoints.
 SLOW_REPORT_MIN_ENDPOINTS = 40
-SLOW_REPORT_SECONDS = 1.0
+SLOW_REPORT_INTERVAL_SECONDS = 1.0
 # Lease of the copy of an unreachable VM. It must be long enough for a live
 # endpoint to switch to another reporter.
 COPY_LEASE_SECONDS = 6.0
@@ -94,9 +94,11 @@
             reported_at=now,
             lease_until=now + LEASE_SECONDS,
         )
-        self.take_copy(LOCAL, endpoint)
+        self.store_copy(LOCAL, endpoint)
         if announcement.leaving:
-            self.leave(announcement.endpoint_id, announcement.incarnation)
+            self.start_draining(
+                announcement.endpoint_id, announcement.incarnation
+            )
         self._timeline.record(
             "endpoint.announced", endpoint_id=announcement.endpoint_id
         )
@@ -109,11 +111,11 @@
         if known is None or known.incarnation != report.incarnation:
             return self._grant(known=False)
         now = self._clock.monotonic()
-        own = self._copies_by_id[endpoint_id].get(LOCAL)
+        local = self._copies_by_id[endpoint_id].get(LOCAL)
         if report.sequence < known.sequence:
             # A report out of order, or one of a restarted sequence.
-            renewed = replace(own or known, lease_until=now + LEASE_SECONDS)
-            self.take_copy(LOCAL, renewed)
+            renewed = replace(local or known, lease_until=now + LEASE_SECONDS)
+            self.store_copy(LOCAL, renewed)
             return self._grant(known=True)
         endpoint = replace(
             known,
@@ -127,13 +129,13 @@
             adapters=_reported_or_known(report.adapters, known.adapters),
             role=report.role or known.role,
         )
-        self.take_copy(LOCAL, endpoint)
+        self.store_copy(LOCAL, endpoint)
         if report.leaving:
-            self.leave(endpoint_id, report.incarnation)
-        resync = self.cache_of(endpoint_id).apply_report(report)
+            self.start_draining(endpoint_id, report.incarnation)
+        resync = self.get_cache(endpoint_id).apply_report(report)
         return self._grant(known=True, resync=resync)
 
-    def leave(self, endpoint_id: str, incarnation: int) -> None:
+    def start_draining(self, endpoint_id: str, incarnation: int) -> None:
         """Start draining: running requests finish, no new ones are sent."""
         if self._drained_by_id.get(endpoint_id, -1) >= incarnation:
             return
@@ -146,7 +148,7 @@
         if LOCAL not in self._copies_by_id[endpoint_id]:
             # Its reporter may have missed it, so this VM publishes it too.
             lease = self._clock.monotonic() + LEASE_SECONDS
-            self.take_copy(LOCAL, replace(known, lease_until=lease))
+            self.store_copy(LOCAL, replace(known, lease_until=lease))
         self._merge(endpoint_id)
         self._timeline.record("endpoint.leaving", endpoint_id=endpoint_id)
         self._notify_listeners()
@@ -176,14 +178,14 @@
             endpoint.url, self._clock.monotonic()
         )
 
-    def cache_of(self, endpoint_id: str) -> PrefixCache:
+    def get_cache(self, endpoint_id: str) -> PrefixCache:
         """Return the known content of an endpoint's prefix cache."""
         cache = self._caches_by_id.get(endpoint_id)
         if cache is None:
             cache = self._caches_by_id[endpoint_id] = PrefixCache()
         return cache
 
-    def own_endpoints(self) -> list[Endpoint]:
+    def local_endpoints(self) -> list[Endpoint]:
         """Return the endpoints that report to this VM."""
         return [
             copies[LOCAL]
@@ -191,16 +193,16 @@
             if LOCAL in copies
         ]
 
-    def has_left(self, endpoint: Endpoint) -> bool:
+    def is_draining(self, endpoint: Endpoint) -> bool:
         """Return whether this incarnation of an endpoint is draining."""
         drained = self._drained_by_id.get(endpoint.endpoint_id, -1)
         return drained >= endpoint.incarnation
 
-    def copy_of(self, vm_id: str, endpoint_id: str) -> Endpoint | None:
+    def get_copy(self, vm_id: str, endpoint_id: str) -> Endpoint | None:
         """Return a VM's copy of an endpoint, if there is one."""
         return self._copies_by_id.get(endpoint_id, {}).get(vm_id)
 
-    def take_copy(self, vm_id: str, endpoint: Endpoint) -> None:
+    def store_copy(self, vm_id: str, endpoint: Endpoint) -> None:
         """Store a VM's copy of an endpoint; ``LOCAL`` is this VM."""
         name, url = endpoint.endpoint_id, endpoint.url
         if self._is_outdated(name, url, endpoint.incarnation):
@@ -221,7 +223,7 @@
         copies[vm_id] = endpoint
         self._merge(name)
 
-    def drop_copy(self, vm_id: str, endpoint_id: str) -> None:
+    def remove_copy(self, vm_id: str, endpoint_id: str) -> None:
         """Remove a VM's copy of an endpoint."""
         copies = self._copies_by_id.get(endpoint_id)
         if copies is not None and copies.pop(vm_id, None) is not None:
@@ -233,7 +235,7 @@
         for endpoint_id, copies in list(self._copies_by_id.items()):
             for vm_id, copy in list(copies.items()):
                 if copy.lease_until <= now:
-                    self.drop_copy(vm_id, endpoint_id)
+                    self.remove_copy(vm_id, endpoint_id)
 
     def _merge(self, endpoint_id: str) -> None:
         copies = self._copies_by_id.get(endpoint_id)
@@ -251,15 +253,15 @@
             since = self._clock.monotonic()
             self._handle_new_incarnation(best)
         merged = (
-            self.has_left(best),
+            self.is_draining(best),
             since,
             max(copy.lease_until for copy in copies.values()),
         )
         if merged != (best.leaving, best.known_since, best.lease_until):
-            leaving, since, lease_until = merged
+            draining, since, lease_until = merged
             best = replace(
                 best,
-                leaving=leaving,
+                leaving=draining,
                 known_since=since,
                 lease_until=lease_until,
             )
@@ -312,8 +314,8 @@
 
     def _report_interval(self) -> float:
         if len(self.endpoints_by_id) < SLOW_REPORT_MIN_ENDPOINTS:
-            return REPORT_SECONDS
-        return SLOW_REPORT_SECONDS
+            return REPORT_INTERVAL_SECONDS
+        return SLOW_REPORT_INTERVAL_SECONDS
 
     def _grant(
         self,
--- a/burdockdrum/routing/fleet.py
+++ b/burdockdrum/routing/fleet.py
@@ -214,7 +214,7 @@
         Cache events of the engine are delayed and incomplete, but include
         evictions, so they are preferred to this VM's own placements.
         """
-        cache = self._endpoints.cache_of(endpoint.endpoint_id)
+        cache = self._endpoints.get_cache(endpoint.endpoint_id)
         if len(cache):
             return cache.count_leading(request.prefix_hashes)
         return depths.get(tracker.name, 0)
--- a/burdockdrum/vms/endpoint_sharing.py
+++ b/burdockdrum/vms/endpoint_sharing.py
@@ -12,7 +12,7 @@
 from burdockdrum.endpoints import COPY_LEASE_SECONDS
 from burdockdrum.endpoints import Endpoint
 from burdockdrum.endpoints import EndpointRegistry
-from burdockdrum.endpoints import REPORT_SECONDS
+from burdockdrum.endpoints import REPORT_INTERVAL_SECONDS
 from burdockdrum.ports import Clock
 from burdockdrum.vms.group import VmGroup
 
@@ -24,7 +24,7 @@
 PREFIXES_A_TICK = 24
 PREFIXES_AN_ENDPOINT_A_TICK = 8
 # Younger figures are as fresh as the reports; their age is not sent.
-FRESH_SECONDS = 2 * REPORT_SECONDS
+FRESH_SECONDS = 2 * REPORT_INTERVAL_SECONDS
 # Renewing each copy with each of four ticks a second was half of the CPU
 # of a VM with 160 endpoints in a data centre of four.
 REFRESH_SECONDS = 0.9
@@ -90,7 +90,7 @@
         self._registry.prune()
         own = {
             (endpoint.endpoint_id, endpoint.incarnation): endpoint
-            for endpoint in self._registry.own_endpoints()
+            for endpoint in self._registry.local_endpoints()
         }
         for start in self._keys_by_start.keys() - own.keys():
             key = self._keys_by_start.pop(start)
@@ -101,12 +101,14 @@
         prefixes_left = PREFIXES_A_TICK
         for endpoint in own.values():
             key = self._key_of(endpoint)
-            record = _make_record(endpoint, self._registry.has_left(endpoint))
+            record = _make_record(
+                endpoint, self._registry.is_draining(endpoint)
+            )
             self._group.put(ENDPOINT_TOPIC, key, record)
             self._put_load(key, _make_load(endpoint, now))
-            cache = self._registry.cache_of(endpoint.endpoint_id)
+            cache = self._registry.get_cache(endpoint.endpoint_id)
             limit = min(prefixes_left, PREFIXES_AN_ENDPOINT_A_TICK)
-            fresh = cache.take_fresh(limit)
+            fresh = cache.pop_unpublished(limit)
             prefixes_left -= len(fresh)
             if fresh:
                 self._group.put(CACHE_TOPIC, key, fresh)
@@ -139,18 +141,20 @@
             endpoint_id = ids.pop(key, None)
             if endpoint_id is not None and endpoint_id not in ids.values():
                 self._loads_by_source.pop((vm_id, endpoint_id), None)
-                self._registry.drop_copy(vm_id, endpoint_id)
+                self._registry.remove_copy(vm_id, endpoint_id)
             return
         record = msgspec.msgpack.decode(value, type=EndpointRecord)
         if key not in ids:
             self._loads_by_source.pop((vm_id, record.endpoint_id), None)
         ids[key] = record.endpoint_id
         now = self._clock.monotonic()
-        known = self._registry.copy_of(vm_id, record.endpoint_id)
+        known = self._registry.get_copy(vm_id, record.endpoint_id)
         endpoint = _read_record(record, known, now)
-        self._registry.take_copy(vm_id, endpoint)
+        self._registry.store_copy(vm_id, endpoint)
         if record.leaving:
-            self._registry.leave(record.endpoint_id, record.incarnation)
+            self._registry.start_draining(
+                record.endpoint_id, record.incarnation
+            )
 
     def _take_load(
         self, vm_id: str, key: int, value: msgspec.Raw | None
@@ -168,14 +172,14 @@
         if value is None or endpoint_id is None:
             return
         prefixes = msgspec.msgpack.decode(value, type=list[int])
-        self._registry.cache_of(endpoint_id).add(prefixes)
+        self._registry.get_cache(endpoint_id).add(prefixes)
 
     def _refresh(self, vm_id: str) -> None:
         """Renew the copies of a VM whose publication is up to date."""
         now = self._clock.monotonic()
         due = now + COPY_LEASE_SECONDS - REFRESH_SECONDS
         for endpoint_id in self._ids_by_source.get(vm_id, {}).values():
-            copy = self._registry.copy_of(vm_id, endpoint_id)
+            copy = self._registry.get_copy(vm_id, endpoint_id)
             if copy is None:
                 continue
             source = (vm_id, endpoint_id)
@@ -186,7 +190,7 @@
             load = self._loads_by_source.get(source)
             if load is not None:
                 copy = _renew(copy, load, now)
-                self._registry.take_copy(vm_id, copy)
+                self._registry.store_copy(vm_id, copy)
 
     def _list_entries(self) -> list[str]:
         members = self._group.live_members()
--- a/burdockdrum/web/endpoint_face.py
+++ b/burdockdrum/web/endpoint_face.py
@@ -63,7 +63,7 @@
         self._authenticator.check_endpoint(request)
         leaving = await read_json(request, self._limit, Leaving)
         endpoint_id = route_value(request, "endpoint_id")
-        self._endpoints.leave(endpoint_id, leaving.incarnation)
+        self._endpoints.start_draining(endpoint_id, leaving.incarnation)
         return json_response({"left": endpoint_id})
 
     def _check_stays(self) -> None:
--- a/scripts/bench/membership.py
+++ b/scripts/bench/membership.py
@@ -26,8 +26,8 @@
 from docopt import docopt
 from loguru import logger
 
+from burdockdrum.endpoints import MAX_PREFIXES_PER_ENDPOINT
 from burdockdrum.endpoints import PrefixCache
-from burdockdrum.endpoints import PREFIXES_AN_ENDPOINT
 from burdockdrum.testing import run_virtual
 from tests.vms.bed import Bed
 
@@ -207,7 +207,9 @@
     tracemalloc.start()
     caches = [PrefixCache() for _ in range(ENDPOINTS)]
     for cache in caches:
-        cache.add(rng.getrandbits(32) for _ in range(PREFIXES_AN_ENDPOINT))
+        cache.add(
+            rng.getrandbits(32) for _ in range(MAX_PREFIXES_PER_ENDPOINT)
+        )
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     print(f"{ENDPOINTS} full prefix caches: {held / 1024:.0f} KB")
--- a/scripts/experiment/world.py
+++ b/scripts/experiment/world.py
@@ -17,7 +17,7 @@
 from burdockdrum.endpoints import Announcement
 from burdockdrum.endpoints import EndpointRegistry
 from burdockdrum.endpoints import Report
-from burdockdrum.endpoints import REPORT_SECONDS
+from burdockdrum.endpoints import REPORT_INTERVAL_SECONDS
 from burdockdrum.peers import VmIdentity
 from burdockdrum.settings import PolicySettings
 from burdockdrum.testing import VirtualClock
@@ -90,7 +90,7 @@
         self.announce()
         sequence = 0
         while True:
-            await asyncio.sleep(REPORT_SECONDS)
+            await asyncio.sleep(REPORT_INTERVAL_SECONDS)
             if self.engine.died.is_set():
                 continue
             sequence += 1
--- a/tests/endpoints/test_registry.py
+++ b/tests/endpoints/test_registry.py
@@ -7,9 +7,9 @@
 from burdockdrum.endpoints import CacheEvent
 from burdockdrum.endpoints import EndpointRegistry
 from burdockdrum.endpoints import LEASE_SECONDS
-from burdockdrum.endpoints import PREFIXES_AN_ENDPOINT
+from burdockdrum.endpoints import MAX_PREFIXES_PER_ENDPOINT
 from burdockdrum.endpoints import Report
-from burdockdrum.endpoints import REPORT_SECONDS
+from burdockdrum.endpoints import REPORT_INTERVAL_SECONDS
 from burdockdrum.endpoints import SLOW_REPORT_MIN_ENDPOINTS
 from burdockdrum.testing import run_virtual
 from burdockdrum.testing import VirtualClock
@@ -61,9 +61,9 @@
                 announce(registry, endpoint_id=f"e{i}", url=f"http://e{i}")
                 for i in range(SLOW_REPORT_MIN_ENDPOINTS)
             ]
-            self.assertEqual(REPORT_SECONDS, grants[0].report_seconds)
+            self.assertEqual(REPORT_INTERVAL_SECONDS, grants[0].report_seconds)
             slow = grants[-1].report_seconds
-            self.assertGreater(slow, REPORT_SECONDS)
+            self.assertGreater(slow, REPORT_INTERVAL_SECONDS)
             self.assertGreater(LEASE_SECONDS, 2 * slow)
 
         run_virtual(main())
@@ -77,7 +77,7 @@
             announce(registry, incarnation=2)
             late = Report(incarnation=1, sequence=9, running=4)
             self.assertFalse(registry.report("e1", late).known)
-            registry.leave("e1", 1)
+            registry.start_draining("e1", 1)
             self.assertFalse(announce(registry, incarnation=1).known)
             endpoint = registry.endpoints_by_id["e1"]
             self.assertEqual((2, 0), (endpoint.incarnation, endpoint.running))
@@ -112,7 +112,7 @@
         async def main():
             registry = make_registry()
             announce(registry)
-            registry.leave("e1", 1)
+            registry.start_draining("e1", 1)
             announce(registry)
             self.assertEqual([], find_candidate_ids(registry))
             announce(registry, incarnation=2)
@@ -130,7 +130,7 @@
 
         run_virtual(main())
 
-    def test_flapping_endpoint_is_held_back_longer_each_time(self):
+    def test_flapping_endpoint_is_suppressed_longer_each_time(self):
         # An endpoint that crashes after each start loses its requests. It is
         # suppressed from its third return within two minutes on.
         async def main():
@@ -159,7 +159,7 @@
 
         run_virtual(main())
 
-    def test_gap_in_cache_events_asks_for_all(self):
+    def test_gap_in_cache_events_requests_a_snapshot(self):
         # After lost events, a full resync is requested with each report
         # until it arrives.
         async def main():
@@ -186,7 +186,7 @@
             self.assertTrue(report(3, [6], 6))
             self.assertFalse(report(4, [1, 5, 6], 6, complete=True))
             self.assertFalse(report(5, [7], 7))
-            cache = registry.cache_of("e1")
+            cache = registry.get_cache("e1")
             self.assertEqual(3, cache.count_leading([1, 2, 5]))
             self.assertEqual(0, cache.count_leading([2, 3]))
 
@@ -196,9 +196,9 @@
         async def main():
             registry = make_registry()
             announce(registry)
-            cache = registry.cache_of("e1")
-            cache.add(range(PREFIXES_AN_ENDPOINT + 10))
-            self.assertEqual(PREFIXES_AN_ENDPOINT, len(cache))
+            cache = registry.get_cache("e1")
+            cache.add(range(MAX_PREFIXES_PER_ENDPOINT + 10))
+            self.assertEqual(MAX_PREFIXES_PER_ENDPOINT, len(cache))
             self.assertEqual(0, cache.count_leading([9]))
             self.assertEqual(1, cache.count_leading([10]))
 
@@ -208,8 +208,8 @@
         async def main():
             registry = make_registry()
             announce(registry)
-            registry.cache_of("e1").add([1])
+            registry.get_cache("e1").add([1])
             announce(registry, incarnation=2)
-            self.assertEqual(0, len(registry.cache_of("e1")))
+            self.assertEqual(0, len(registry.get_cache("e1")))
 
         run_virtual(main())
--- a/tests/vms/bed.py
+++ b/tests/vms/bed.py
@@ -7,7 +7,7 @@
 from burdockdrum.endpoints import Announcement
 from burdockdrum.endpoints import EndpointRegistry
 from burdockdrum.endpoints import Report
-from burdockdrum.endpoints import REPORT_SECONDS
+from burdockdrum.endpoints import REPORT_INTERVAL_SECONDS
 from burdockdrum.metrics import Metrics
 from burdockdrum.peers import Peers
 from burdockdrum.peers import Seal
@@ -154,14 +154,14 @@
         self.task.cancel()
 
     def leave(self, vm_id: str) -> None:
-        self.bed.vms_by_id[vm_id].registry.leave(
+        self.bed.vms_by_id[vm_id].registry.start_draining(
             self.announcement.endpoint_id, self.announcement.incarnation
         )
 
     async def _run(self) -> None:
         known = False
         # Endpoints do not start in step.
-        await asyncio.sleep(self._rng.random() * REPORT_SECONDS)
+        await asyncio.sleep(self._rng.random() * REPORT_INTERVAL_SECONDS)
         while True:
             vm = self.bed.vms_by_id.get(self.reporter)
             if vm is None:
@@ -173,7 +173,7 @@
                 known = vm.registry.announce(self.announcement).known
             else:
                 known = self._report(vm)
-            await asyncio.sleep(REPORT_SECONDS)
+            await asyncio.sleep(REPORT_INTERVAL_SECONDS)
 
     def _report(self, vm: BedVm) -> bool:
         self._sequence += 1
