--- a/burdockdrum/requests/attempts.py
+++ b/burdockdrum/requests/attempts.py
@@ -14,7 +14,7 @@
 from burdockdrum.ports import AnswerLost
 from burdockdrum.ports import UpstreamAnswer
 from burdockdrum.requests.events import has_other_request_id
-from burdockdrum.requests.silence import IdleTimer
+from burdockdrum.requests.idle_timer import IdleTimer
 from burdockdrum.routing import Attempt
 from burdockdrum.routing import AttemptOutcome
 from burdockdrum.verdicts import Refusal
--- a/burdockdrum/requests/exchange.py
+++ b/burdockdrum/requests/exchange.py
@@ -21,9 +21,9 @@
 from burdockdrum.requests.attempts import Upstream
 from burdockdrum.requests.attempts import VERDICT_HEADER
 from burdockdrum.requests.budget import RetryBudget
-from burdockdrum.requests.meters import RequestMetrics
 from burdockdrum.requests.model import InboundRequest
 from burdockdrum.requests.priority import find_priority
+from burdockdrum.requests.request_metrics import RequestMetrics
 from burdockdrum.requests.residency import find_allowed_regions
 from burdockdrum.requests.upstreams import UpstreamOpener
 from burdockdrum.routing import AttemptOutcome
@@ -135,7 +135,7 @@
             except AttemptFailed as failure:
                 await self._handle_failure(failure)
             except Refusal as refusal:
-                raise self._admit(refusal) from None
+                raise self._with_combined_verdict(refusal) from None
 
     async def give_up(
         self, upstream: Upstream, failure: AttemptFailed
@@ -290,14 +290,14 @@
             attempt=self._attempts,
         )
         if self.remaining() <= 0:
-            raise self._admit(_refuse_past_deadline())
+            raise self._with_combined_verdict(_refuse_past_deadline())
         if failure.final or self._attempts >= MAX_ATTEMPTS:
-            raise self._admit(refusal)
+            raise self._with_combined_verdict(refusal)
         if refusal.verdict is not Verdict.NOT_RUN:
             self._check_may_run_again(refusal, failure)
         backoff = BACKOFF_STEP_SECONDS * (self._attempts - 1)
         if self.remaining() <= backoff:
-            raise self._admit(refusal)
+            raise self._with_combined_verdict(refusal)
         if backoff:
             await self._services.clock.sleep(backoff)
 
@@ -305,13 +305,13 @@
         self, refusal: Refusal, failure: AttemptFailed
     ) -> None:
         if not self.request.may_run_again:
-            raise self._admit(refusal)
+            raise self._with_combined_verdict(refusal)
         # Lost connections don't count against the budget: one request that
         # crashes an engine would exhaust it for all others in its batch.
         if failure.lost:
             return
         if not self._services.budget.try_withdraw():
-            raise self._admit(refusal)
+            raise self._with_combined_verdict(refusal)
 
     def _check_region(
         self, region: str, routing_request: RoutingRequest
@@ -339,7 +339,7 @@
                 retry_after=1.0,
             )
 
-    def _admit(self, refusal: Refusal) -> Refusal:
+    def _with_combined_verdict(self, refusal: Refusal) -> Refusal:
         return refusal.with_verdict(worst(self.verdict, refusal.verdict))
 
     def _exclude(self, upstream: Upstream) -> None:
--- a/burdockdrum/requests/streamed.py
+++ b/burdockdrum/requests/streamed.py
@@ -8,6 +8,8 @@
 from burdockdrum.requests.attempts import fail_status
 from burdockdrum.requests.attempts import RETRYABLE_STATUSES
 from burdockdrum.requests.attempts import Upstream
+from burdockdrum.requests.buffered import make_answer
+from burdockdrum.requests.buffered import read_answer
 from burdockdrum.requests.events import EventSplitter
 from burdockdrum.requests.events import EventTooLarge
 from burdockdrum.requests.events import is_done
@@ -17,8 +19,6 @@
 from burdockdrum.requests.events import read_offset
 from burdockdrum.requests.exchange import Exchange
 from burdockdrum.requests.model import Answer
-from burdockdrum.requests.whole import make_answer
-from burdockdrum.requests.whole import read_answer
 from burdockdrum.routing import AttemptOutcome
 from burdockdrum.verdicts import Refusal
 
--- a/tests/histories/test_checkers.py
+++ b/tests/histories/test_checkers.py
@@ -154,7 +154,7 @@
             for region in REGIONS
             for planned in crash_engines(region, start=start, seconds=2)
         ]
-        history = run(plan, (Exchange, "_admit", deny))
+        history = run(plan, (Exchange, "_with_combined_verdict", deny))
         self.assert_found("not run", history)
 
     def test_at_most_once(self):
--- a/tests/requests/test_streams.py
+++ b/tests/requests/test_streams.py
@@ -108,7 +108,7 @@
 
         run_with_stack(scenario, "a1")
 
-    def test_event_of_another_request_reaches_nobody(self):
+    def test_event_of_another_request_is_not_delivered(self):
         # HARD CASE 6: an engine mixes up two answers. Events with the id of
         # another request must not be relayed.
         async def scenario(stack):
