--- a/burdockdrum/passthrough/__init__.py
+++ b/burdockdrum/passthrough/__init__.py
@@ -5,12 +5,12 @@
 membership and verdicts.
 """
 
+from burdockdrum.passthrough.active_routes import ActiveRoutes
+from burdockdrum.passthrough.header_names import HeaderNames
 from burdockdrum.passthrough.relay import Relay
-from burdockdrum.passthrough.routes_in_force import RoutesInForce
+from burdockdrum.passthrough.route_index import RouteIndex
 from burdockdrum.passthrough.server import PassThroughServer
 from burdockdrum.passthrough.services import add_services
-from burdockdrum.passthrough.table import RouteIndex
-from burdockdrum.passthrough.vocabulary import HeaderNames
 
 __all__ = [
     "add_services",
@@ -18,5 +18,5 @@
     "PassThroughServer",
     "Relay",
     "RouteIndex",
-    "RoutesInForce",
+    "ActiveRoutes",
 ]
--- a/burdockdrum/passthrough/routes_in_force.py
+++ b/burdockdrum/passthrough/active_routes.py
@@ -2,14 +2,14 @@
 
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.http1 import Limits
-from burdockdrum.passthrough.table import RouteIndex
+from burdockdrum.passthrough.route_index import RouteIndex
 from burdockdrum.resources import Configuration
 from burdockdrum.resources import RouteTableSpec
 
 DEFAULT_LIMITS = Limits()
 
 
-class RoutesInForce:
+class ActiveRoutes:
     """Rebuilds the route index whenever the route table changes."""
 
     def __init__(self, *, configuration: ConfigurationService) -> None:
@@ -25,9 +25,11 @@
         """Return the active routes, None while they are unknown."""
         return self._index if self._configuration.known else None
 
-    def homes_of(self, host: str) -> frozenset[str]:
+    def home_regions_of(self, host: str) -> frozenset[str]:
         """Return the regions that any route of a host is restricted to."""
-        return self._index.homes_of(host) if self._index else frozenset()
+        return (
+            self._index.home_regions_of(host) if self._index else frozenset()
+        )
 
     def _apply(self, configuration: Configuration) -> None:
         table = configuration.route_table
--- a/burdockdrum/passthrough/patience.py
+++ b/burdockdrum/passthrough/attempt_timeouts.py
@@ -11,10 +11,10 @@
 
 from burdockdrum.passthrough.fleet import Fleet
 from burdockdrum.passthrough.limits import RetryBudget
-from burdockdrum.passthrough.model import EndpointPlace
-from burdockdrum.passthrough.model import PassedRequest
-from burdockdrum.passthrough.model import Place
-from burdockdrum.passthrough.model import Progress
+from burdockdrum.passthrough.model import EndpointTarget
+from burdockdrum.passthrough.model import ProxiedRequest
+from burdockdrum.passthrough.model import RequestProgress
+from burdockdrum.passthrough.model import Target
 from burdockdrum.settings import MechanismSettings
 
 # Multiple of the expected wait after which an attempt times out.
@@ -27,7 +27,7 @@
 # How often an idle attempt without an alternative is checked again.
 RECHECK_INTERVAL_SECONDS = 0.25
 
-HasAlternative = Callable[[PassedRequest, Progress, Place], bool]
+HasAlternative = Callable[[ProxiedRequest, RequestProgress, Target], bool]
 
 
 class AttemptWatchdog:
@@ -36,14 +36,14 @@
     def __init__(
         self,
         *,
-        first_part_timeout_seconds: float,
+        first_chunk_timeout_seconds: float,
         idle_timeout_seconds: float,
         may_retry: Callable[[], bool],
         abort: Callable[[str], None],
     ) -> None:
         """Start the timer; requires a running event loop.
 
-        :param first_part_timeout_seconds: until the first chunk of the
+        :param first_chunk_timeout_seconds: until the first chunk of the
             response
         :param idle_timeout_seconds: between two chunks
         :param may_retry: returns whether a retry is possible now
@@ -53,7 +53,7 @@
         self._idle_timeout_seconds = idle_timeout_seconds
         self._may_retry = may_retry
         self._abort = abort
-        self._expires_at = self._loop.time() + first_part_timeout_seconds
+        self._expires_at = self._loop.time() + first_chunk_timeout_seconds
         self._timer = self._loop.call_at(self._expires_at, self._check)
 
     def record_chunk(self) -> None:
@@ -75,7 +75,7 @@
         self._timer = self._loop.call_at(next_at, self._check)
 
 
-class Patience:
+class AttemptTimeouts:
     """Computes timeouts of attempts and creates their watchdogs."""
 
     def __init__(
@@ -83,57 +83,64 @@
         *,
         fleet: Fleet,
         budget: RetryBudget,
-        has_other: HasAlternative,
+        has_alternative: HasAlternative,
         mechanisms: MechanismSettings | None = None,
     ) -> None:
         """Create the policy.
 
         :param fleet: provides usual run times
         :param budget: charged for each retry
-        :param has_other: returns whether another target would accept a
+        :param has_alternative: returns whether another target would accept a
             request
         :param mechanisms: the enabled parts of the policy; default all
         """
         self._mechanisms = mechanisms or MechanismSettings()
         self._fleet = fleet
         self._budget = budget
-        self._has_other = has_other
+        self._has_alternative = has_alternative
 
     def start_watchdog(
         self,
-        place: Place,
-        request: PassedRequest,
-        progress: Progress,
+        target: Target,
+        request: ProxiedRequest,
+        progress: RequestProgress,
         abort: Callable[[str], None],
     ) -> AttemptWatchdog | None:
         """Start a watchdog for an attempt, None if it can't be retried."""
         if not self._mechanisms.silence_given_up:
             return None
-        if not request.may_repeat or progress.runs + 1 >= request.attempts:
+        if not request.is_retryable or progress.runs + 1 >= request.attempts:
             return None
         return AttemptWatchdog(
-            first_part_timeout_seconds=self.first_part_timeout(place, request),
+            first_chunk_timeout_seconds=self.first_chunk_timeout(
+                target, request
+            ),
             idle_timeout_seconds=STREAM_IDLE_TIMEOUT_SECONDS,
-            may_retry=lambda: self._acquire_retry(place, request, progress),
+            may_retry=lambda: self._acquire_retry(target, request, progress),
             abort=abort,
         )
 
-    def first_part_timeout(
-        self, place: Place, request: PassedRequest
+    def first_chunk_timeout(
+        self, target: Target, request: ProxiedRequest
     ) -> float:
         """Return the seconds to wait for the first chunk."""
         usual = self._fleet.stall_timeout_seconds(request.backend.name)
-        if isinstance(place, EndpointPlace):
-            wait = place.choice.wait
-            expected = wait.queue + wait.own
+        if isinstance(target, EndpointTarget):
+            wait = target.choice.wait
+            expected = wait.queue + wait.service_time
             return max(usual, expected * EXPECTED_WAIT_FACTOR)
-        expected = place.wait_seconds * EXPECTED_WAIT_FACTOR
+        expected = target.wait_seconds * EXPECTED_WAIT_FACTOR
         return max(usual, expected) + HOP_MARGIN_SECONDS
 
     def _acquire_retry(
-        self, place: Place, request: PassedRequest, progress: Progress
+        self,
+        target: Target,
+        request: ProxiedRequest,
+        progress: RequestProgress,
     ) -> bool:
-        if not self._has_other(request, progress, place):
+        if not self._has_alternative(request, progress, target):
             return False
-        progress.has_paid_retry = self._budget.take(request.backend.name)
-        return progress.has_paid_retry
+        progress.has_acquired_retry = self._budget.try_withdraw(
+            request.backend.name
+        )
+        return progress.has_acquired_retry
--- a/burdockdrum/passthrough/attempts.py
+++ b/burdockdrum/passthrough/attempts.py
@@ -13,29 +13,29 @@
 from burdockdrum.http1 import ResponseHead
 from burdockdrum.http1 import ResponseLost
 from burdockdrum.logs import log_decision
-from burdockdrum.passthrough.calls import Call
-from burdockdrum.passthrough.calls import InFlightCalls
-from burdockdrum.passthrough.events import BrokenEvents
-from burdockdrum.passthrough.events import EventCutter
+from burdockdrum.passthrough.attempt_timeouts import AttemptTimeouts
+from burdockdrum.passthrough.events import InvalidEventStream
+from burdockdrum.passthrough.events import ResumableEventSplitter
 from burdockdrum.passthrough.fleet import Fleet
 from burdockdrum.passthrough.health import EndpointHealth
-from burdockdrum.passthrough.model import Answered
+from burdockdrum.passthrough.in_flight_calls import Call
+from burdockdrum.passthrough.in_flight_calls import InFlightCalls
 from burdockdrum.passthrough.model import Delivered
-from burdockdrum.passthrough.model import EndpointPlace
+from burdockdrum.passthrough.model import EndpointTarget
+from burdockdrum.passthrough.model import ErrorResponse
 from burdockdrum.passthrough.model import Lost
 from burdockdrum.passthrough.model import NotStarted
 from burdockdrum.passthrough.model import Outcome
-from burdockdrum.passthrough.model import PassedRequest
-from burdockdrum.passthrough.model import Place
-from burdockdrum.passthrough.model import Progress
-from burdockdrum.passthrough.model import RegionPlace
-from burdockdrum.passthrough.patience import Patience
-from burdockdrum.passthrough.payloads import PayloadMaker
-from burdockdrum.passthrough.responses import AnswerCut
-from burdockdrum.passthrough.responses import read_held
-from burdockdrum.passthrough.responses import read_runs
-from burdockdrum.passthrough.responses import read_small
-from burdockdrum.passthrough.responses import ResponseReader
+from burdockdrum.passthrough.model import ProxiedRequest
+from burdockdrum.passthrough.model import RegionTarget
+from burdockdrum.passthrough.model import RequestProgress
+from burdockdrum.passthrough.model import Target
+from burdockdrum.passthrough.payloads import PayloadEncoder
+from burdockdrum.passthrough.responses import read_buffered
+from burdockdrum.passthrough.responses import read_error_body
+from burdockdrum.passthrough.responses import read_used_attempts
+from burdockdrum.passthrough.responses import ResponseClassifier
+from burdockdrum.passthrough.responses import ResponseTruncated
 from burdockdrum.ports import Clock
 
 # Shorter than the one-second TCP retransmission timeout: after a lost packet
@@ -48,7 +48,7 @@
 DEADLINE_GRACE_SECONDS = 0.05
 
 
-class Attempts:
+class AttemptRunner:
     """Runs attempts and reports the outcome of each."""
 
     def __init__(
@@ -58,12 +58,12 @@
         fleet: Fleet,
         endpoint_pool: ConnectionPool,
         vm_pool: ConnectionPool,
-        payloads: PayloadMaker,
-        responses: ResponseReader,
-        patience: Patience,
+        payloads: PayloadEncoder,
+        responses: ResponseClassifier,
+        timeouts: AttemptTimeouts,
     ) -> None:
         """Create the runner with its connection pools and collaborators."""
-        self._patience = patience
+        self._timeouts = timeouts
         self._clock = clock
         self._fleet = fleet
         self._endpoint_pool = endpoint_pool
@@ -72,7 +72,7 @@
         self._responses = responses
         self._in_flight = InFlightCalls()
 
-    def end_start(self, endpoint_id: str) -> None:
+    def abort_incarnation(self, endpoint_id: str) -> None:
         """Abort the attempts at a previous incarnation of an endpoint.
 
         After a power loss its connections can stay open in the kernel, so
@@ -86,94 +86,97 @@
                 "attempts.given_up", endpoint_id=endpoint_id, number=number
             )
 
-    async def make(
+    # Not named ``run``: the kernel starts the ``run`` of every service.
+    async def execute(
         self,
-        place: Place,
-        request: PassedRequest,
-        progress: Progress,
+        target: Target,
+        request: ProxiedRequest,
+        progress: RequestProgress,
         exchange: Exchange,
-        cutter: EventCutter,
+        splitter: ResumableEventSplitter,
     ) -> Outcome:
         """Run an attempt and forward its response to the caller.
 
-        :raises AnswerCut: if the response broke off after it had been
+        :raises ResponseTruncated: if the response broke off after it had been
             partly forwarded and cannot be resumed
         """
-        match place:
-            case EndpointPlace():
+        match target:
+            case EndpointTarget():
                 return await self._send_to_endpoint(
-                    place, request, progress, exchange, cutter
+                    target, request, progress, exchange, splitter
                 )
-            case RegionPlace():
+            case RegionTarget():
                 return await self._forward_to_region(
-                    place, request, progress, exchange, cutter
+                    target, request, progress, exchange, splitter
                 )
 
     async def _send_to_endpoint(
         self,
-        place: EndpointPlace,
-        request: PassedRequest,
-        progress: Progress,
+        target: EndpointTarget,
+        request: ProxiedRequest,
+        progress: RequestProgress,
         exchange: Exchange,
-        cutter: EventCutter,
+        splitter: ResumableEventSplitter,
     ) -> Outcome:
-        endpoint = place.choice.endpoint
-        placement = self._fleet.begin(
-            place.choice, request.backend, request.prompt, request.route.rank
+        endpoint = target.choice.endpoint
+        in_flight_request = self._fleet.record_sent(
+            target.choice, request.backend, request.prompt, request.route.rank
         )
         payload = self._payloads.for_endpoint(
             request,
             endpoint_id=endpoint.known_as,
-            fetch_from=place.choice.fetch_from,
+            fetch_from=target.choice.fetch_from,
             seconds_left=self._seconds_left(request),
-            last_event=cutter.last_number,
+            last_event=splitter.last_number,
         )
         call = Call(
             pool=self._endpoint_pool,
             address=endpoint.address,
             payload=payload,
             connect_timeout_seconds=CONNECT_TIMEOUT_SECONDS,
-            place=place,
-            placement=placement,
+            target=target,
+            in_flight_request=in_flight_request,
         )
         outcome: Outcome | None = None
         try:
             self._in_flight.add(endpoint.endpoint_id, call)
             outcome = await self._call(
-                call, request, progress, exchange, cutter
+                call, request, progress, exchange, splitter
             )
             return outcome
         finally:
             self._in_flight.remove(endpoint.endpoint_id, call)
             whole = isinstance(outcome, Delivered)
-            self._fleet.end(placement, request.backend, whole=whole)
+            self._fleet.record_end(
+                in_flight_request, request.backend, whole=whole
+            )
             self._record_outcome(self._fleet.health_of(endpoint), outcome)
             if isinstance(outcome, NotStarted) and outcome.replaced:
                 self._fleet.remove_incarnation(endpoint)
 
     async def _forward_to_region(
         self,
-        place: RegionPlace,
-        request: PassedRequest,
-        progress: Progress,
+        target: RegionTarget,
+        request: ProxiedRequest,
+        progress: RequestProgress,
         exchange: Exchange,
-        cutter: EventCutter,
+        splitter: ResumableEventSplitter,
     ) -> Outcome:
         payload = self._payloads.for_region(
             request,
             seconds_left=self._seconds_left(request),
-            attempts=handed_attempts(request, progress),
-            last_event=cutter.last_number,
+            attempts=forwarded_attempts(request, progress),
+            last_event=splitter.last_number,
         )
         call = Call(
             pool=self._vm_pool,
-            address=place.address,
+            address=target.address,
             payload=payload,
             connect_timeout_seconds=HOP_CONNECT_TIMEOUT_SECONDS,
-            place=place,
+            target=target,
         )
         began = self._clock.monotonic()
-        outcome = await self._call(call, request, progress, exchange, cutter)
+        outcome = await self._call(call, request, progress, exchange, splitter)
         if isinstance(outcome, Delivered):
             # An entry VM without local endpoints has no other samples.
             seconds = self._clock.monotonic() - began - HOP_DELAY_SECONDS
@@ -183,10 +186,10 @@
     async def _call(
         self,
         call: Call,
-        request: PassedRequest,
-        progress: Progress,
+        request: ProxiedRequest,
+        progress: RequestProgress,
         exchange: Exchange,
-        cutter: EventCutter,
+        splitter: ResumableEventSplitter,
     ) -> Outcome:
         try:
             connection = await call.pool.take(
@@ -206,11 +209,11 @@
         try:
             connection.send(call.payload, request.request_id.encode())
             async with asyncio.timeout(left) as call.timeout:
-                call.watchdog = self._patience.start_watchdog(
-                    call.place, request, progress, call.abort
+                call.watchdog = self._timeouts.start_watchdog(
+                    call.target, request, progress, call.abort
                 )
                 return await self._receive(
-                    connection, call, request, progress, exchange, cutter
+                    connection, call, request, progress, exchange, splitter
                 )
         except TimeoutError:
             if call.abort_reason is not None:
@@ -218,7 +221,7 @@
                 reason = f"{call.abort_reason} after {waited:.2f} s"
                 return Lost(reason=reason)
             return Lost(reason="the deadline has passed", timed_out=True)
-        except (ResponseLost, BrokenEvents) as error:
+        except (ResponseLost, InvalidEventStream) as error:
             return Lost(reason=str(error))
         finally:
             call.disarm_watchdog()
@@ -230,22 +233,24 @@
         self,
         connection: ClientConnection,
         call: Call,
-        request: PassedRequest,
-        progress: Progress,
+        request: ProxiedRequest,
+        progress: RequestProgress,
         exchange: Exchange,
-        cutter: EventCutter,
+        splitter: ResumableEventSplitter,
     ) -> Outcome:
         head = await connection.read_head()
-        failure = self._responses.judge(head)
+        failure = self._responses.classify(head)
         if failure is not None:
-            await read_small(connection)
+            await read_error_body(connection)
             return failure
         if head.status >= 300:
-            body = await read_small(connection)
-            return Answered(head=head, body=body, runs=read_runs(head) or 1)
+            body = await read_error_body(connection)
+            return ErrorResponse(
+                head=head, body=body, runs=read_used_attempts(head) or 1
+            )
         if request.route.streams:
             return await self._forward_stream(
-                connection, head, call, request, progress, exchange, cutter
+                connection, head, call, request, progress, exchange, splitter
             )
         call.disarm_watchdog()
         return await self._forward_response(connection, head, exchange)
@@ -256,7 +261,7 @@
         head: ResponseHead,
         exchange: Exchange,
     ) -> Outcome:
-        body, whole = await read_held(connection)
+        body, whole = await read_buffered(connection)
         headers = self._responses.headers_for_caller(head)
         if whole:
             exchange.answer(head.status, headers, body)
@@ -268,7 +273,7 @@
                 exchange.write(chunk)
                 await exchange.drain()
         except ResponseLost as error:
-            raise AnswerCut(str(error)) from error
+            raise ResponseTruncated(str(error)) from error
         exchange.finish()
         return Delivered(status=head.status)
 
@@ -277,25 +282,27 @@
         connection: ClientConnection,
         head: ResponseHead,
         call: Call,
-        request: PassedRequest,
-        progress: Progress,
+        request: ProxiedRequest,
+        progress: RequestProgress,
         exchange: Exchange,
-        cutter: EventCutter,
+        splitter: ResumableEventSplitter,
     ) -> Outcome:
-        cutter.begin_run()
+        splitter.start_attempt()
         while (chunk := await connection.read_part()) is not None:
             if call.watchdog is not None:
                 call.watchdog.record_chunk()
-            if call.placement is not None:
-                self._fleet.note_output(call.placement)
-            events = cutter.feed(chunk)
+            if call.in_flight_request is not None:
+                self._fleet.record_output(call.in_flight_request)
+            events = splitter.feed(chunk)
             if events:
                 progress.record_chunk(self._clock.monotonic())
                 self._start_stream(exchange, head)
                 exchange.write(events)
                 await exchange.drain()
-        if cutter.has_rest:
-            raise BrokenEvents("the stream ended in the middle of an event")
+        if splitter.has_partial_event:
+            raise InvalidEventStream(
+                "the stream ended in the middle of an event"
+            )
         self._start_stream(exchange, head)
         exchange.finish()
         return Delivered(status=head.status)
@@ -307,29 +314,31 @@
             headers = self._responses.headers_for_caller(head)
             exchange.start(head.status, headers)
 
-    def _seconds_left(self, request: PassedRequest) -> float:
+    def _seconds_left(self, request: ProxiedRequest) -> float:
         return request.deadline - self._clock.monotonic()
 
     def _record_outcome(
         self, health: EndpointHealth, outcome: Outcome | None
     ) -> None:
         now = self._clock.monotonic()
-        if isinstance(outcome, Delivered | Answered):
-            health.note_reached(now)
+        if isinstance(outcome, Delivered | ErrorResponse):
+            health.record_reached(now)
         match outcome:
             case Delivered():
-                health.note_success()
-            case Answered(head=head) if head.status >= 500:
-                health.note_failure(now)
+                health.record_success()
+            case ErrorResponse(head=head) if head.status >= 500:
+                health.record_error(now)
             case NotStarted(reached=False):
-                health.note_unreachable(now)
+                health.record_unreachable(now)
             case Lost(timed_out=False):
-                health.note_loss(now)
+                health.record_loss(now)
             case _:
                 health.record_neutral()
 
 
-def handed_attempts(request: PassedRequest, progress: Progress) -> int:
+def forwarded_attempts(
+    request: ProxiedRequest, progress: RequestProgress
+) -> int:
     """Return how many attempts another region may make for a request.
 
     A stream that breaks off on its way back may have used all of them; this
--- a/burdockdrum/passthrough/rating.py
+++ b/burdockdrum/passthrough/endpoint_rating.py
@@ -8,31 +8,31 @@
 from dataclasses import dataclass
 from dataclasses import field
 
-from burdockdrum.passthrough.beginnings import Beginning
-from burdockdrum.passthrough.beginnings import Fetch
-from burdockdrum.passthrough.beginnings import link_seconds
-from burdockdrum.passthrough.engines import Engines
+from burdockdrum.passthrough.endpoint_state import EndpointState
+from burdockdrum.passthrough.endpoint_state import RatedEndpoint
+from burdockdrum.passthrough.engines import EngineEstimates
 from burdockdrum.passthrough.estimate_errors import EstimateErrors
+from burdockdrum.passthrough.prefixes import PrefixFetch
+from burdockdrum.passthrough.prefixes import PrefixLocation
+from burdockdrum.passthrough.prefixes import transfer_seconds
 from burdockdrum.passthrough.prompts import Prompt
-from burdockdrum.passthrough.tracks import Choice
-from burdockdrum.passthrough.tracks import EndpointState
-from burdockdrum.passthrough.waiting import decode_risk_seconds
-from burdockdrum.passthrough.waiting import estimate_queue
-from burdockdrum.passthrough.waiting import preemption_seconds
-from burdockdrum.passthrough.waiting import RECENT_WINDOW_SECONDS
-from burdockdrum.passthrough.waiting import Wait
+from burdockdrum.passthrough.wait_estimates import decode_risk_seconds
+from burdockdrum.passthrough.wait_estimates import estimate_queue
+from burdockdrum.passthrough.wait_estimates import ExpectedWait
+from burdockdrum.passthrough.wait_estimates import preemption_seconds
+from burdockdrum.passthrough.wait_estimates import RECENT_WINDOW_SECONDS
 from burdockdrum.registrations import Load
 from burdockdrum.registrations import RegisteredEndpoint
 from burdockdrum.resources import Backend
 from burdockdrum.resources import Route
 from burdockdrum.settings import MechanismSettings
 
-# Penalty for endpoints other than a prefix's home (chosen by hash) while no
-# endpoint is known to have it cached. Makes entry VMs choose the same endpoint
-# without communication, so that the prefix is computed only once.
-HOME_PENALTY_SECONDS = 0.1
+# Penalty for endpoints other than the one that hashing assigns a prefix to,
+# while no endpoint is known to have it cached. Makes entry VMs choose the same
+# endpoint without communication, so that the prefix is computed only once.
+NOT_HASHED_PENALTY_SECONDS = 0.1
 # How much longer a transfer takes between data centres.
-FAR_TIMES = 2.0
+REMOTE_LINK_FACTOR = 2.0
 _BYTES_PER_MEGABYTE = 1_000_000
 # Headers of a request and its response, and a short response body.
 EXCHANGE_OVERHEAD_BYTES = 2000
@@ -57,7 +57,7 @@
     backend: Backend
     prompt: Prompt
     seconds_left: float
-    beginning: Beginning
+    prefix: PrefixLocation
     run_seconds: float
     errors: EstimateErrors
     body_bytes: int = 0
@@ -70,9 +70,9 @@
     def __init__(
         self,
         *,
-        engines: Engines,
+        engines: EngineEstimates,
         read_load: Callable[[str], Load],
-        read_unheard: Callable[[], int],
+        read_unreported_entries: Callable[[], int],
         read_region: Callable[[str], str | None],
         mechanisms: MechanismSettings,
         data_centre: str | None = None,
@@ -81,7 +81,8 @@
         """Create it.
 
         :param read_load: returns the load of other entry VMs at an endpoint
-        :param read_unheard: returns how many entry VMs report no load
+        :param read_unreported_entries: returns how many entry VMs report no
+            load
         :param read_region: returns the region of a data centre
         :param mechanisms: the enabled parts of the policy
         :param data_centre: the data centre of this entry VM, None to ignore
@@ -93,7 +94,7 @@
         self._crossing_seconds = crossing_seconds
         self._engines = engines
         self._read_load = read_load
-        self._read_unheard = read_unheard
+        self._read_unreported_entries = read_unreported_entries
         self._read_region = read_region
         self._mechanisms = mechanisms
 
@@ -102,27 +103,29 @@
         endpoint: RegisteredEndpoint,
         state: EndpointState,
         request: RatedRequest,
-        held_tokens: int,
+        cached_tokens: int,
         now: float,
         *,
         is_suspect: bool,
-    ) -> Choice:
+    ) -> RatedEndpoint:
         """Return the estimated wait of a request at an endpoint.
 
-        :param held_tokens: tokens of the prompt that the endpoint has cached
+        :param cached_tokens: tokens of the prompt that the endpoint has cached
         :param is_suspect: whether the endpoint is ejected or stalled
         """
         load = self._load(endpoint, state, now)
-        fetch = self._find_fetch(endpoint, request, held_tokens)
-        unread = request.prompt.tokens - held_tokens
+        fetch = self._find_fetch(endpoint, request, cached_tokens)
+        unread = request.prompt.tokens - cached_tokens
         if fetch is not None:
             unread -= fetch.tokens
         offered_load = self._offered_load(request.backend.name, endpoint, load)
-        return Choice(
+        return RatedEndpoint(
             endpoint=endpoint,
-            wait=Wait(
+            wait=ExpectedWait(
                 queue=self._queue(endpoint, load, request),
-                own=self._own_seconds(endpoint, request, unread, fetch),
+                service_time=self._service_time(
+                    endpoint, request, unread, fetch
+                ),
                 penalty=self._penalty(endpoint, request, is_suspect)
                 + self._preemption(endpoint, load, request)
                 + self._decode_risk(request, offered_load)
@@ -139,15 +142,17 @@
     def _load(
         self, endpoint: RegisteredEndpoint, state: EndpointState, now: float
     ) -> Load:
-        token_seconds = self._engines.token_seconds(endpoint.service)
+        prefill_token_seconds = self._engines.prefill_token_seconds(
+            endpoint.service
+        )
         load = state.load(
             now,
-            token_seconds,
+            prefill_token_seconds,
             counts_progress=self._mechanisms.reading_progress,
         )
         if not self._mechanisms.shared_loads:
             return load
-        unreported = self._read_unheard()
+        unreported = self._read_unreported_entries()
         if unreported:
             load = load.times(unreported + 1)
         load.merge(self._read_load(endpoint.endpoint_id))
@@ -163,7 +168,7 @@
             rank=request.route.rank,
             slots=endpoint.slots,
             run_seconds=request.run_seconds,
-            token_seconds=self._engines.token_seconds(service),
+            prefill_token_seconds=self._engines.prefill_token_seconds(service),
             counts_arrivals=self._mechanisms.urgent_share,
         )
         # Prefers the less loaded of several endpoints with free slots.
@@ -172,19 +177,19 @@
             queue * factor + utilization * request.run_seconds / endpoint.slots
         )
 
-    def _own_seconds(
+    def _service_time(
         self,
         endpoint: RegisteredEndpoint,
         request: RatedRequest,
         unread: int,
-        fetch: Fetch | None,
+        fetch: PrefixFetch | None,
     ) -> float:
         backend = request.backend
         if backend.engine is None:
             return 0.0
         engines = self._engines
         prefill = self._prefill_seconds(request, unread)
-        prefill += engines.first_seconds(backend.name)
+        prefill += engines.first_token_seconds(backend.name)
         factor = engines.time_factor(backend.name, endpoint.endpoint_id)
         fetching = engines.fetch_seconds(backend.name, fetch)
         return prefill * factor + fetching
@@ -192,13 +197,13 @@
     def _prefill_seconds(self, request: RatedRequest, unread: int) -> float:
         cached = request.prefill_seconds_by_unread.get(unread)
         if cached is None:
-            cached = self._engines.reading_seconds(
+            cached = self._engines.prefill_seconds(
                 request.backend.name, request.prompt, unread
             )
             request.prefill_seconds_by_unread[unread] = cached
         return cached
 
-    def reading_tokens(self, request: RatedRequest, unread: int) -> float:
+    def prefill_cost_tokens(self, request: RatedRequest, unread: int) -> float:
         """Return the prefill cost of a prompt in tokens of short prompts.
 
         Attention makes a token of a long prompt costlier than one of a short
@@ -210,35 +215,40 @@
         if not self._mechanisms.long_prompt_cost:
             return float(unread)
         seconds = self._prefill_seconds(request, unread)
-        return seconds / self._engines.token_seconds(service)
+        return seconds / self._engines.prefill_token_seconds(service)
 
     def _find_fetch(
         self,
         endpoint: RegisteredEndpoint,
         request: RatedRequest,
-        held_tokens: int,
-    ) -> Fetch | None:
+        cached_tokens: int,
+    ) -> PrefixFetch | None:
         """Return the prefix fetch that an endpoint should make, if any."""
-        holder = request.beginning.holder
-        tokens = request.beginning.fetchable(endpoint.endpoint_id, held_tokens)
+        holder = request.prefix.holder
+        tokens = request.prefix.fetchable_tokens(
+            endpoint.endpoint_id, cached_tokens
+        )
         if holder is None or not tokens:
             return None
-        seconds = link_seconds(request.backend, tokens)
+        seconds = transfer_seconds(request.backend, tokens)
         if holder.data_centre != endpoint.data_centre:
-            seconds *= FAR_TIMES
+            seconds *= REMOTE_LINK_FACTOR
         here, there = endpoint.data_centre, holder.data_centre
-        return Fetch(
+        return PrefixFetch(
             address=holder.address,
             tokens=tokens,
-            link_seconds=seconds,
-            is_far=self._read_region(here) != self._read_region(there),
+            transfer_seconds=seconds,
+            is_cross_region=self._read_region(here)
+            != self._read_region(there),
         )
 
     def _offered_load(
         self, service: str, endpoint: RegisteredEndpoint, load: Load
     ) -> float:
         """Return the seconds of prefill sent to an endpoint per second."""
-        seconds = load.recent_tokens * self._engines.token_seconds(service)
+        seconds = load.recent_tokens * self._engines.prefill_token_seconds(
+            service
+        )
         factor = self._engines.time_factor(service, endpoint.endpoint_id)
         return seconds * factor / RECENT_WINDOW_SECONDS
 
@@ -248,7 +258,9 @@
         is_on = self._mechanisms.writing_risk
         if request.backend.engine is None or not is_on:
             return 0.0
-        step = self._engines.step_seconds(request.backend.name, prefill_share)
+        step = self._engines.decode_step_seconds(
+            request.backend.name, prefill_share
+        )
         return decode_risk_seconds(request.prompt, step, request.seconds_left)
 
     def _preemption(
@@ -289,8 +301,11 @@
             penalty += MISSED_HEARTBEAT_PENALTY_SECONDS
         if is_suspect:
             penalty += EJECTED_PENALTY_SECONDS
-        if request.beginning.home_id not in (None, endpoint.endpoint_id):
-            penalty += HOME_PENALTY_SECONDS
+        if request.prefix.hashed_endpoint_id not in (
+            None,
+            endpoint.endpoint_id,
+        ):
+            penalty += NOT_HASHED_PENALTY_SECONDS
         return penalty
 
 
--- a/burdockdrum/passthrough/tracks.py
+++ b/burdockdrum/passthrough/endpoint_state.py
@@ -4,11 +4,11 @@
 from dataclasses import field
 import math
 
-from burdockdrum.passthrough.beginnings import Fetch
 from burdockdrum.passthrough.health import EndpointHealth
+from burdockdrum.passthrough.prefixes import PrefixFetch
 from burdockdrum.passthrough.prompts import Prompt
-from burdockdrum.passthrough.waiting import RECENT_WINDOW_SECONDS
-from burdockdrum.passthrough.waiting import Wait
+from burdockdrum.passthrough.wait_estimates import ExpectedWait
+from burdockdrum.passthrough.wait_estimates import RECENT_WINDOW_SECONDS
 from burdockdrum.registrations import Load
 from burdockdrum.registrations import RankSum
 from burdockdrum.registrations import RegisteredEndpoint
@@ -19,24 +19,24 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Choice:
+class RatedEndpoint:
     """An endpoint rated for a request.
 
     ``fetch`` is the prefix that it would fetch from another endpoint.
     ``offered_load`` is how many seconds of prefill all entry VMs send there
     per second, ``prefill_share`` the share of its time spent on prefill.
     ``queued_tokens`` are the unread tokens of other prompts there.
-    ``reading_tokens`` is the prefill cost of the prompt, as the number of
+    ``prefill_cost_tokens`` is the prefill cost of the prompt, as the number of
     tokens of short prompts that take as long.
     """
 
     endpoint: RegisteredEndpoint
-    wait: Wait
+    wait: ExpectedWait
     unread_tokens: int
-    fetch: Fetch | None = None
+    fetch: PrefixFetch | None = None
     offered_load: float = 0.0
     queued_tokens: float = 0.0
-    reading_tokens: float = 0.0
+    prefill_cost_tokens: float = 0.0
     prefill_share: float = 0.0
 
     @property
@@ -46,19 +46,19 @@
 
 
 @dataclass(kw_only=True, eq=False)
-class Placement:
+class InFlightRequest:
     """An in-flight request at an endpoint.
 
-    ``parts`` counts the chunks of its response. Times are monotonic.
+    ``chunks_received`` counts the chunks of its response. Times are monotonic.
     """
 
-    choice: Choice
+    choice: RatedEndpoint
     prompt: Prompt
     rank: int
     began_at: float
     first_output_at: float | None = None
     last_output_at: float | None = None
-    parts: int = 0
+    chunks_received: int = 0
 
     @property
     def endpoint(self) -> RegisteredEndpoint:
@@ -69,7 +69,9 @@
     def unread_tokens(self) -> float:
         """Return the prefill cost of its prompt, 0 after the first chunk."""
         return (
-            self.choice.reading_tokens if self.first_output_at is None else 0.0
+            self.choice.prefill_cost_tokens
+            if self.first_output_at is None
+            else 0.0
         )
 
 
@@ -83,7 +85,7 @@
 
     service: str
     health: EndpointHealth = field(default_factory=EndpointHealth)
-    placements: set[Placement] = field(default_factory=set)
+    in_flight_requests: set[InFlightRequest] = field(default_factory=set)
     recent_tokens_by_rank: dict[int, float] = field(default_factory=dict)
     recent_updated_at: float = 0.0
     latest_first_output_at: float = 0.0
@@ -103,33 +105,33 @@
     def load(
         self,
         now: float,
-        token_seconds: float,
+        prefill_token_seconds: float,
         *,
         counts_progress: bool = True,
     ) -> Load:
         """Return this entry VM's load at the endpoint.
 
-        :param token_seconds: prefill time of a token
+        :param prefill_token_seconds: prefill time of a token
         :param counts_progress: whether to subtract the estimated progress of
             the running prefill
         """
         load = Load()
-        for placement in self.placements:
-            rank_sum = load.of_rank(placement.rank)
+        for in_flight_request in self.in_flight_requests:
+            rank_sum = load.of_rank(in_flight_request.rank)
             rank_sum.requests += 1
-            if placement.first_output_at is None:
-                unread = placement.unread_tokens
+            if in_flight_request.first_output_at is None:
+                unread = in_flight_request.unread_tokens
                 rank_sum.waiting += unread > 0
                 rank_sum.unread_tokens += unread
         if counts_progress:
-            self._subtract_progress(load, now, token_seconds)
+            self._subtract_progress(load, now, prefill_token_seconds)
         self.add_recent(now, 0, 0.0)
         for rank, tokens in self.recent_tokens_by_rank.items():
             load.of_rank(rank).recent_tokens += tokens
         return load
 
     def _subtract_progress(
-        self, load: Load, now: float, token_seconds: float
+        self, load: Load, now: float, prefill_token_seconds: float
     ) -> None:
         """Subtract the estimated progress of the running prefill.
 
@@ -138,7 +140,7 @@
         """
         waiting = [
             p
-            for p in self.placements
+            for p in self.in_flight_requests
             if p.first_output_at is None and p.unread_tokens
         ]
         if not waiting:
@@ -146,5 +148,5 @@
         first = min(waiting, key=lambda p: (p.rank, p.began_at))
         seconds = now - max(self.latest_first_output_at, first.began_at)
         limit = first.unread_tokens * (1 - MIN_UNREAD_FRACTION)
-        done = min(limit, max(0.0, seconds) / token_seconds)
+        done = min(limit, max(0.0, seconds) / prefill_token_seconds)
         load.add(first.rank, RankSum(unread_tokens=done), -1)
--- a/burdockdrum/passthrough/engines.py
+++ b/burdockdrum/passthrough/engines.py
@@ -8,9 +8,9 @@
 from dataclasses import field
 import math
 
-from burdockdrum.passthrough.beginnings import Fetch
 from burdockdrum.passthrough.observed_curve import Features
 from burdockdrum.passthrough.observed_curve import ObservedCurve
+from burdockdrum.passthrough.prefixes import PrefixFetch
 from burdockdrum.passthrough.prompts import Prompt
 from burdockdrum.settings import MechanismSettings
 
@@ -164,7 +164,7 @@
         return deviation.value - self.median_deviation
 
 
-class Engines:
+class EngineEstimates:
     """Engine speeds by service, as observed by this entry VM."""
 
     def __init__(self, *, mechanisms: MechanismSettings | None = None) -> None:
@@ -175,15 +175,15 @@
         self._mechanisms = mechanisms or MechanismSettings()
         self._curves_by_service: dict[str, _ServiceCurves] = {}
 
-    def first_seconds(self, service: str) -> float:
+    def first_token_seconds(self, service: str) -> float:
         """Return the time to first token of a fully cached prompt."""
         return self._curves(service).prefill.coefficients[0]
 
-    def token_seconds(self, service: str) -> float:
+    def prefill_token_seconds(self, service: str) -> float:
         """Return the prefill time of a token, without attention pairs."""
         return self._curves(service).prefill.coefficients[1]
 
-    def reading_seconds(
+    def prefill_seconds(
         self, service: str, prompt: Prompt, unread_tokens: int
     ) -> float:
         """Return the prefill time of the last tokens of a prompt."""
@@ -193,7 +193,7 @@
         curve = self._curves(service).prefill
         return curve.seconds(features) - curve.coefficients[0]
 
-    def step_seconds(self, service: str, prefill_share: float) -> float:
+    def decode_step_seconds(self, service: str, prefill_share: float) -> float:
         """Return the time of a decode step.
 
         :param prefill_share: share of the engine's time spent on prefill
@@ -202,12 +202,12 @@
             (1.0, min(1.0, prefill_share))
         )
 
-    def fetch_seconds(self, service: str, fetch: Fetch | None) -> float:
+    def fetch_seconds(self, service: str, fetch: PrefixFetch | None) -> float:
         """Return the time to fetch a cached prefix, 0 without a fetch."""
         if fetch is None:
             return 0.0
         curve = self._fetch_curve(service, fetch)
-        return curve.seconds((1.0, fetch.link_seconds))
+        return curve.seconds((1.0, fetch.transfer_seconds))
 
     def time_factor(self, service: str, endpoint_id: str) -> float:
         """Return an endpoint's times as a multiple of the service's."""
@@ -243,13 +243,17 @@
             key = max(_MIN_POWER, min(_MAX_POWER, power))
             curves.prefill.record(key, features, seconds)
 
-    def note_fetch(self, service: str, fetch: Fetch, seconds: float) -> None:
+    def record_fetch(
+        self, service: str, fetch: PrefixFetch, seconds: float
+    ) -> None:
         """Record how long a fetch delayed the first token."""
         if not self._mechanisms.observed_engines:
             return
-        power = max(1, round(fetch.link_seconds * 1000)).bit_length() - 1
+        power = max(1, round(fetch.transfer_seconds * 1000)).bit_length() - 1
         self._fetch_curve(service, fetch).record(
-            min(power, _MAX_FETCH_POWER), (1.0, fetch.link_seconds), seconds
+            min(power, _MAX_FETCH_POWER),
+            (1.0, fetch.transfer_seconds),
+            seconds,
         )
 
     def record_decode(
@@ -275,9 +279,13 @@
         for curves in self._curves_by_service.values():
             curves.deviations_by_id.pop(endpoint_id, None)
 
-    def _fetch_curve(self, service: str, fetch: Fetch) -> ObservedCurve:
+    def _fetch_curve(self, service: str, fetch: PrefixFetch) -> ObservedCurve:
         curves = self._curves(service)
-        return curves.remote_fetching if fetch.is_far else curves.fetching
+        return (
+            curves.remote_fetching
+            if fetch.is_cross_region
+            else curves.fetching
+        )
 
     def _curves(self, service: str) -> _ServiceCurves:
         curves = self._curves_by_service.get(service)
--- a/burdockdrum/passthrough/events.py
+++ b/burdockdrum/passthrough/events.py
@@ -12,11 +12,11 @@
 MAX_EVENT_BYTES = 256 * 1024
 
 
-class BrokenEvents(Exception):
+class InvalidEventStream(Exception):
     """The data is not an event stream, or an event is missing."""
 
 
-class EventCutter:
+class ResumableEventSplitter:
     """Passes on complete events, each number once and in order.
 
     An incomplete event is buffered and not passed on, so that after a failure
@@ -32,20 +32,20 @@
         self._partial_event = b""
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Return whether an incomplete event is buffered."""
         return bool(self._partial_event.strip())
 
-    def begin_run(self) -> None:
+    def start_attempt(self) -> None:
         """Discard the incomplete event of the previous attempt."""
         self._partial_event = b""
 
-    def feed(self, part: bytes) -> bytes:
+    def feed(self, chunk: bytes) -> bytes:
         """Add data and return the events that it completes.
 
-        :raises BrokenEvents: if an event is missing or too large
+        :raises InvalidEventStream: if an event is missing or too large
         """
-        data = self._partial_event + part
+        data = self._partial_event + chunk
         out = []
         begin = 0
         for match in _EVENT_END.finditer(data):
@@ -55,7 +55,7 @@
                 out.append(event)
         self._partial_event = data[begin:]
         if len(self._partial_event) > MAX_EVENT_BYTES:
-            raise BrokenEvents(f"event exceeds {MAX_EVENT_BYTES} bytes")
+            raise InvalidEventStream(f"event exceeds {MAX_EVENT_BYTES} bytes")
         return b"".join(out)
 
     def _is_new(self, event: bytes) -> bool:
@@ -67,6 +67,6 @@
         if last is not None and number <= last:
             return False
         if last is not None and number > last + 1:
-            raise BrokenEvents(f"event {last + 1} is missing")
+            raise InvalidEventStream(f"event {last + 1} is missing")
         self.last_number = number
         return True
--- a/burdockdrum/passthrough/fleet.py
+++ b/burdockdrum/passthrough/fleet.py
@@ -9,20 +9,20 @@
 import random
 
 from burdockdrum.holdings import HoldingsLedger
-from burdockdrum.passthrough.engines import Engines
-from burdockdrum.passthrough.finding import BeginningFinder
+from burdockdrum.passthrough.endpoint_rating import EndpointRater
+from burdockdrum.passthrough.endpoint_rating import RatedRequest
+from burdockdrum.passthrough.endpoint_state import EndpointState
+from burdockdrum.passthrough.endpoint_state import InFlightRequest
+from burdockdrum.passthrough.endpoint_state import RatedEndpoint
+from burdockdrum.passthrough.engines import EngineEstimates
 from burdockdrum.passthrough.health import EndpointHealth
-from burdockdrum.passthrough.learning import RequestTimings
 from burdockdrum.passthrough.limits import SlowStartGate
+from burdockdrum.passthrough.prefix_cache_view import PrefixCacheView
+from burdockdrum.passthrough.prefix_finder import PrefixFinder
 from burdockdrum.passthrough.prompts import Prompt
-from burdockdrum.passthrough.rating import EndpointRater
-from burdockdrum.passthrough.rating import RatedRequest
-from burdockdrum.passthrough.stale import draw
-from burdockdrum.passthrough.stale import find_level
-from burdockdrum.passthrough.tracks import Choice
-from burdockdrum.passthrough.tracks import EndpointState
-from burdockdrum.passthrough.tracks import Placement
-from burdockdrum.passthrough.warmth import Warmth
+from burdockdrum.passthrough.request_timings import RequestTimings
+from burdockdrum.passthrough.stale_load import draw
+from burdockdrum.passthrough.stale_load import find_level
 from burdockdrum.ports import Clock
 from burdockdrum.registrations import Load
 from burdockdrum.registrations import RankLoad
@@ -52,10 +52,10 @@
         rng: random.Random,
         read_endpoints: Callable[[], dict[str, RegisteredEndpoint]],
         read_load: Callable[[str], Load],
-        read_unheard: Callable[[], int] = int,
-        read_lag: Callable[[], float] = float,
+        read_unreported_entries: Callable[[], int] = int,
+        read_load_age: Callable[[], float] = float,
         drop_endpoint: Callable[[str], None] = lambda endpoint_id: None,
-        ledger: HoldingsLedger | None = None,
+        prefix_cache_table: HoldingsLedger | None = None,
         note_shared: Callable[[str], None] = lambda part_id: None,
         read_region: Callable[[str], str | None] = lambda name: None,
         mechanisms: MechanismSettings | None = None,
@@ -66,10 +66,12 @@
 
         :param read_endpoints: returns the registered endpoints by id
         :param read_load: returns the load of other entry VMs at an endpoint
-        :param read_unheard: returns how many entry VMs report no load
-        :param read_lag: returns the age of the reported loads in seconds
+        :param read_unreported_entries: returns how many entry VMs report no
+            load
+        :param read_load_age: returns the age of the reported loads in seconds
         :param drop_endpoint: removes an endpoint, by its id
-        :param ledger: the cached prefixes that endpoints have reported
+        :param prefix_cache_table: the cached prefixes that endpoints have
+            reported
         :param note_shared: called with the id of each shared prompt part
         :param read_region: returns the region of a data centre
         :param mechanisms: the enabled parts of the policy; default all
@@ -79,17 +81,19 @@
         """
         self._mechanisms = mechanisms or MechanismSettings()
         self.entries = 1
-        self.warmth = Warmth(
-            read_now=clock.monotonic, ledger=ledger, note_shared=note_shared
+        self.prefix_cache_view = PrefixCacheView(
+            read_now=clock.monotonic,
+            table=prefix_cache_table,
+            note_shared=note_shared,
         )
-        self.engines = Engines(mechanisms=self._mechanisms)
-        self._learning = RequestTimings(engines=self.engines)
-        self.beginnings = BeginningFinder(
-            warmth=self.warmth,
+        self.engines = EngineEstimates(mechanisms=self._mechanisms)
+        self._timings = RequestTimings(engines=self.engines)
+        self.prefixes = PrefixFinder(
+            prefix_cache_view=self.prefix_cache_view,
             engines=self.engines,
             list_sources=self._list_sources,
             read_region=read_region,
-            read_lag=read_lag,
+            read_load_age=read_load_age,
             mechanisms=self._mechanisms,
         )
         self._clock = clock
@@ -98,7 +102,7 @@
         self._rater = EndpointRater(
             engines=self.engines,
             read_load=read_load,
-            read_unheard=read_unheard,
+            read_unreported_entries=read_unreported_entries,
             read_region=read_region,
             mechanisms=self._mechanisms,
             data_centre=data_centre,
@@ -106,7 +110,7 @@
         )
         self._data_centre = data_centre
         self._prefers_local = crossing_seconds > 0
-        self._read_lag = read_lag
+        self._read_load_age = read_load_age
         self._drop_endpoint = drop_endpoint
         self._states_by_id: dict[str, EndpointState] = {}
         self._slow_start_gate = SlowStartGate(clock=clock, rng=rng)
@@ -121,7 +125,7 @@
         tried: frozenset[str],
         closed_data_centres: frozenset[str],
         body_bytes: int = 0,
-    ) -> Choice | None:
+    ) -> RatedEndpoint | None:
         """Return the endpoint with the best expected wait.
 
         Returns None if no endpoint is eligible.
@@ -145,98 +149,112 @@
             backend=backend,
             prompt=prompt,
             seconds_left=seconds_left,
-            beginning=self.beginnings.find(
+            prefix=self.prefixes.find(
                 backend, prompt, candidates, route.homes
             ),
             run_seconds=self.run_seconds(backend.name),
-            errors=self._learning.errors_of(backend.name),
+            errors=self._timings.errors_of(backend.name),
             body_bytes=body_bytes,
         )
-        choices = [self._rate(endpoint, request) for endpoint in candidates]
-        offered_load = sum(choice.offered_load for choice in choices)
+        rated_endpoints = [
+            self._rate(endpoint, request) for endpoint in candidates
+        ]
+        offered_load = sum(rated.offered_load for rated in rated_endpoints)
         expected_work = TIE_MARGIN_SECONDS
         if self._mechanisms.stale_spread:
             expected_work = max(
-                offered_load * self._read_lag(), TIE_MARGIN_SECONDS
+                offered_load * self._read_load_age(), TIE_MARGIN_SECONDS
             )
         if self._prefers_local:
-            choices = self._prefer_local(choices, expected_work)
-        waits = [choice.wait.total for choice in choices]
-        chosen = choices[draw(waits, expected_work, self._rng)]
-        reading_tokens = self._rater.reading_tokens(
+            rated_endpoints = self._prefer_local(
+                rated_endpoints, expected_work
+            )
+        waits = [rated.wait.total for rated in rated_endpoints]
+        chosen = rated_endpoints[draw(waits, expected_work, self._rng)]
+        prefill_cost_tokens = self._rater.prefill_cost_tokens(
             request, chosen.unread_tokens
         )
-        return replace(chosen, reading_tokens=reading_tokens)
+        return replace(chosen, prefill_cost_tokens=prefill_cost_tokens)
 
     def _prefer_local(
-        self, choices: list[Choice], expected_work: float
-    ) -> list[Choice]:
-        """Restrict choices to this data centre if it has free capacity.
+        self, rated_endpoints: list[RatedEndpoint], expected_work: float
+    ) -> list[RatedEndpoint]:
+        """Restrict the endpoints to this data centre if it has free capacity.
 
         Traffic between data centres costs money, so that local endpoints
         below the fill level get all of the expected work.
 
         :param expected_work: seconds of work until the next load report
         """
-        waits = [choice.wait.total for choice in choices]
+        waits = [rated.wait.total for rated in rated_endpoints]
         level = find_level(waits, expected_work)
         local = [
-            choice
-            for choice in choices
-            if choice.endpoint.data_centre == self._data_centre
-            and choice.wait.total < level
+            rated
+            for rated in rated_endpoints
+            if rated.endpoint.data_centre == self._data_centre
+            and rated.wait.total < level
         ]
-        return local or choices
+        return local or rated_endpoints
 
     def count_live(self, service: str) -> int:
         """Return how many endpoints of a service accept requests here."""
         return sum(1 for _ in self._live(service))
 
-    def begin(
-        self, choice: Choice, backend: Backend, prompt: Prompt, rank: int
-    ) -> Placement:
+    def record_sent(
+        self,
+        choice: RatedEndpoint,
+        backend: Backend,
+        prompt: Prompt,
+        rank: int,
+    ) -> InFlightRequest:
         """Record a request that is sent to an endpoint."""
         endpoint = choice.endpoint
         now = self._clock.monotonic()
-        state = self._track(endpoint)
-        state.add_recent(now, rank, choice.reading_tokens)
+        state = self._state_of(endpoint)
+        state.add_recent(now, rank, choice.prefill_cost_tokens)
         state.health.record_start(now)
-        if not state.placements:
+        if not state.in_flight_requests:
             state.idle_since = now
         if backend.engine is not None:
             memory = backend.engine.memory_tokens
-            self.warmth.note_sent(endpoint.endpoint_id, prompt, memory)
+            self.prefix_cache_view.record_sent(
+                endpoint.endpoint_id, prompt, memory
+            )
         if self._is_in_slow_start(endpoint, backend):
             self._slow_start_gate.acquire(
                 endpoint.endpoint_id,
                 backend.cold_requests_per_second,
                 self.entries,
             )
-        placement = Placement(
+        in_flight_request = InFlightRequest(
             choice=choice,
             prompt=prompt,
             rank=rank,
             began_at=now,
         )
-        state.placements.add(placement)
-        return placement
+        state.in_flight_requests.add(in_flight_request)
+        return in_flight_request
 
-    def note_output(self, placement: Placement) -> None:
+    def record_output(self, in_flight_request: InFlightRequest) -> None:
         """Record that an endpoint sent a chunk of its response."""
         now = self._clock.monotonic()
-        state = self._states_by_id.get(placement.endpoint.endpoint_id)
+        state = self._states_by_id.get(in_flight_request.endpoint.endpoint_id)
         if state is not None:
             state.idle_since = now
-        placement.last_output_at = now
-        placement.parts += 1
-        if placement.first_output_at is None:
-            placement.first_output_at = now
+        in_flight_request.last_output_at = now
+        in_flight_request.chunks_received += 1
+        if in_flight_request.first_output_at is None:
+            in_flight_request.first_output_at = now
             if state is not None:
                 state.latest_first_output_at = now
-            self._learning.record_first_token(placement, now)
+            self._timings.record_first_token(in_flight_request, now)
 
-    def end(
-        self, placement: Placement, backend: Backend, *, whole: bool
+    def record_end(
+        self,
+        in_flight_request: InFlightRequest,
+        backend: Backend,
+        *,
+        whole: bool,
     ) -> None:
         """Record the end of a request.
 
@@ -244,10 +262,10 @@
         """
         now = self._clock.monotonic()
         if whole:
-            self._learning.record_completion(placement, backend, now)
-        state = self._states_by_id.get(placement.endpoint.endpoint_id)
+            self._timings.record_completion(in_flight_request, backend, now)
+        state = self._states_by_id.get(in_flight_request.endpoint.endpoint_id)
         if state is not None:
-            state.placements.discard(placement)
+            state.in_flight_requests.discard(in_flight_request)
             if whole:
                 state.idle_since = now
 
@@ -266,7 +284,7 @@
 
     def record_run(self, service: str, seconds: float) -> None:
         """Record how long a request held a slot in another region."""
-        self._learning.record_run(service, seconds)
+        self._timings.record_run(service, seconds)
 
     def estimate_error(
         self, service: str, rank: int, prefill_share: float
@@ -274,21 +292,23 @@
         """Return by how much a first response is expected to be late."""
         if not self._mechanisms.late_parts:
             return 0.0
-        return self._learning.errors_of(service).expect(rank, prefill_share)
+        return self._timings.errors_of(service).expect(rank, prefill_share)
 
     def run_seconds(self, service: str) -> float:
         """Return how long a request of a service holds a slot on average."""
-        return self._learning.run_seconds(service)
+        return self._timings.run_seconds(service)
 
     def read_own_load(self) -> dict[str, list[RankLoad]]:
         """Return this entry VM's load by endpoint id."""
         now = self._clock.monotonic()
         ranks_by_id = {}
         for endpoint_id, state in self._states_by_id.items():
-            token_seconds = self.engines.token_seconds(state.service)
+            prefill_token_seconds = self.engines.prefill_token_seconds(
+                state.service
+            )
             load = state.load(
                 now,
-                token_seconds,
+                prefill_token_seconds,
                 counts_progress=self._mechanisms.reading_progress,
             )
             ranks = load.ranks()
@@ -296,14 +316,14 @@
                 ranks_by_id[endpoint_id] = ranks
         return ranks_by_id
 
-    def forget_ended(self) -> None:
+    def remove_ended(self) -> None:
         """Remove the state of endpoints that no longer exist."""
         live = self._read_endpoints()
         for endpoint_id, state in list(self._states_by_id.items()):
-            if endpoint_id not in live and not state.placements:
+            if endpoint_id not in live and not state.in_flight_requests:
                 del self._states_by_id[endpoint_id]
                 self.engines.remove_endpoint(endpoint_id)
-        self.warmth.keep_only(live)
+        self.prefix_cache_view.retain_endpoints(live)
 
     def _live(self, service: str) -> list[RegisteredEndpoint]:
         now = self._clock.monotonic()
@@ -358,14 +378,16 @@
 
     def _rate(
         self, endpoint: RegisteredEndpoint, request: RatedRequest
-    ) -> Choice:
+    ) -> RatedEndpoint:
         now = self._clock.monotonic()
-        state = self._track(endpoint)
+        state = self._state_of(endpoint)
         return self._rater.rate(
             endpoint,
             state,
             request,
-            self.warmth.held_tokens(endpoint.endpoint_id, request.prompt),
+            self.prefix_cache_view.cached_tokens(
+                endpoint.endpoint_id, request.prompt
+            ),
             now,
             is_suspect=self._is_suspect(state, endpoint, now),
         )
@@ -387,7 +409,7 @@
         After a power loss its connections accept requests for seconds, until
         the kernel reports an error.
         """
-        if not state.placements:
+        if not state.in_flight_requests:
             return False
         idle_seconds = self._clock.monotonic() - state.idle_since
         return idle_seconds > self.stall_timeout_seconds(endpoint.service)
@@ -399,7 +421,7 @@
             MAX_STALL_TIMEOUT_SECONDS, max(MIN_STALL_TIMEOUT_SECONDS, usual)
         )
 
-    def _track(self, endpoint: RegisteredEndpoint) -> EndpointState:
+    def _state_of(self, endpoint: RegisteredEndpoint) -> EndpointState:
         return self._states_by_id.setdefault(
             endpoint.endpoint_id, EndpointState(service=endpoint.service)
         )
--- a/burdockdrum/passthrough/health.py
+++ b/burdockdrum/passthrough/health.py
@@ -62,12 +62,12 @@
         if self.ejection_seconds and now >= self.ejected_until:
             self.is_probing = True
 
-    def note_reached(self, now: float) -> None:
+    def record_reached(self, now: float) -> None:
         """Record that the endpoint sent a response."""
         if self.was_unreachable and self.reachable_since is None:
             self.reachable_since = now
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Record a successful response."""
         self.score *= 1 - _FAILURE_WEIGHT
         self.is_probing = False
@@ -75,15 +75,15 @@
             self.ejection_seconds = 0.0
             self.ejected_until = 0.0
 
-    def note_failure(self, now: float) -> None:
+    def record_error(self, now: float) -> None:
         """Record an error response."""
         self._record_failure(now, _FAILURE_WEIGHT)
 
-    def note_loss(self, now: float) -> None:
+    def record_loss(self, now: float) -> None:
         """Record a truncated, malformed or missing response."""
         self._record_failure(now, _LOSS_WEIGHT)
 
-    def note_unreachable(self, now: float) -> None:
+    def record_unreachable(self, now: float) -> None:
         """Record a failed connect."""
         self.is_probing = False
         self.unreachable_until = now + CONNECT_BACKOFF_SECONDS
--- a/burdockdrum/passthrough/calls.py
+++ b/burdockdrum/passthrough/in_flight_calls.py
@@ -3,9 +3,9 @@
 import asyncio
 
 from burdockdrum.http1 import ConnectionPool
-from burdockdrum.passthrough.model import Place
-from burdockdrum.passthrough.patience import AttemptWatchdog
-from burdockdrum.passthrough.tracks import Placement
+from burdockdrum.passthrough.attempt_timeouts import AttemptWatchdog
+from burdockdrum.passthrough.endpoint_state import InFlightRequest
+from burdockdrum.passthrough.model import Target
 
 
 class Call:
@@ -18,16 +18,16 @@
         address: str,
         payload: bytes,
         connect_timeout_seconds: float,
-        place: Place,
-        placement: Placement | None = None,
+        target: Target,
+        in_flight_request: InFlightRequest | None = None,
     ) -> None:
         """Create a call that has not been sent yet."""
         self.pool = pool
         self.address = address
         self.payload = payload
         self.connect_timeout_seconds = connect_timeout_seconds
-        self.place = place
-        self.placement = placement
+        self.target = target
+        self.in_flight_request = in_flight_request
         self.watchdog: AttemptWatchdog | None = None
         self.timeout: asyncio.Timeout | None = None
         self.abort_reason: str | None = None
--- a/burdockdrum/passthrough/limits.py
+++ b/burdockdrum/passthrough/limits.py
@@ -44,7 +44,7 @@
         self._first_attempts = _SlidingWindow(clock=clock, seconds=window)
         self._retries = _SlidingWindow(clock=clock, seconds=window)
 
-    def note_request(self, service: str) -> None:
+    def deposit(self, service: str) -> None:
         """Record a request's first attempt."""
         self._first_attempts.add(service)
 
@@ -56,7 +56,7 @@
         )
         return self._retries.count(service) + 1 <= share + earned
 
-    def take(self, service: str) -> bool:
+    def try_withdraw(self, service: str) -> bool:
         """Acquire a retry; return whether the budget allowed it."""
         if not self.allows(service):
             return False
--- a/burdockdrum/passthrough/model.py
+++ b/burdockdrum/passthrough/model.py
@@ -6,8 +6,8 @@
 
 from burdockdrum.http1 import RequestHead
 from burdockdrum.http1 import ResponseHead
+from burdockdrum.passthrough.endpoint_state import RatedEndpoint
 from burdockdrum.passthrough.prompts import Prompt
-from burdockdrum.passthrough.tracks import Choice
 from burdockdrum.quotas import Taken
 from burdockdrum.resources import Backend
 from burdockdrum.resources import Route
@@ -15,14 +15,14 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class PassedRequest:
+class ProxiedRequest:
     """A proxied request with its resolved route.
 
     ``team`` is the authenticated team, None if the route needs no token.
     ``deadline`` is the earlier of the caller's and the route's, in monotonic
-    time. ``came_from`` is the region of the entry VM that forwarded it, None
-    if it came directly from the caller. ``taken`` is what it acquired of the
-    team's quota.
+    time. ``forwarded_from`` is the region of the entry VM that forwarded it,
+    None if it came directly from the caller. ``quota_charge`` is what it
+    acquired of the team's quota.
     """
 
     request_id: str
@@ -34,28 +34,28 @@
     deadline: float
     attempts: int
     last_event: int | None = None
-    came_from: str | None = None
+    forwarded_from: str | None = None
     revision: int = 0
     team: str | None = None
-    taken: Taken | None = None
+    quota_charge: Taken | None = None
 
     @property
-    def may_repeat(self) -> bool:
+    def is_retryable(self) -> bool:
         """Return whether a retry is safe after an attempt may have run."""
         route = self.route
         return route.idempotent or (route.streams and route.resumable)
 
 
 @dataclass(kw_only=True)
-class Progress:
+class RequestProgress:
     """The state of a request over its attempts.
 
     ``runs`` counts the attempts that may have run, ``sent`` those that were
-    sent at all. ``first_part_at`` is the monotonic time of the first chunk
-    sent to the caller, ``parts`` the number of chunks, ``longest_pause`` the
-    longest gap between two in seconds. ``place`` is the target of the last
-    attempt. ``has_paid_retry`` says that the next attempt has already been
-    charged to the retry budget.
+    sent at all. ``first_chunk_at`` is the monotonic time of the first chunk
+    sent to the caller, ``chunks_sent`` the number of chunks,
+    ``longest_gap_seconds`` the longest time between two. ``target`` is that of
+    the last attempt. ``has_acquired_retry`` says that the next attempt has
+    already been charged to the retry budget.
     """
 
     verdict: Verdict = Verdict.NOT_RUN
@@ -64,35 +64,35 @@
     tried: set[str] = field(default_factory=set)
     tried_regions: set[str] = field(default_factory=set)
     last_reason: str = ""
-    first_part_at: float | None = None
-    last_part_at: float | None = None
-    longest_pause: float = 0.0
+    first_chunk_at: float | None = None
+    last_chunk_at: float | None = None
+    longest_gap_seconds: float = 0.0
     last_event: int | None = None
-    failure: "Answered | None" = None
-    has_paid_retry: bool = False
-    place: "Place | None" = None
-    parts: int = 0
+    failure: "ErrorResponse | None" = None
+    has_acquired_retry: bool = False
+    target: "Target | None" = None
+    chunks_sent: int = 0
 
     def record_chunk(self, now: float) -> None:
         """Record a chunk that is sent to the caller."""
-        self.parts += 1
-        if self.first_part_at is None:
-            self.first_part_at = now
-        elif self.last_part_at is not None:
-            pause = now - self.last_part_at
-            self.longest_pause = max(self.longest_pause, pause)
-        self.last_part_at = now
+        self.chunks_sent += 1
+        if self.first_chunk_at is None:
+            self.first_chunk_at = now
+        elif self.last_chunk_at is not None:
+            pause = now - self.last_chunk_at
+            self.longest_gap_seconds = max(self.longest_gap_seconds, pause)
+        self.last_chunk_at = now
 
 
 @dataclass(frozen=True, kw_only=True)
-class EndpointPlace:
+class EndpointTarget:
     """An endpoint of this region as the target of an attempt."""
 
-    choice: Choice
+    choice: RatedEndpoint
 
 
 @dataclass(frozen=True, kw_only=True)
-class RegionPlace:
+class RegionTarget:
     """An entry VM of another region as the target of an attempt."""
 
     region: str
@@ -101,7 +101,7 @@
     wait_seconds: float
 
 
-Place = EndpointPlace | RegionPlace
+Target = EndpointTarget | RegionTarget
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -114,7 +114,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Answered:
+class ErrorResponse:
     """An endpoint sent an error response, not yet sent to the caller.
 
     ``runs`` is how many attempts another region made for it.
@@ -159,4 +159,4 @@
 
 
 # ``log_name`` is the log's ``outcome``; operators' tools match it.
-Outcome = Delivered | Answered | NotStarted | Lost
+Outcome = Delivered | ErrorResponse | NotStarted | Lost
--- a/burdockdrum/passthrough/payloads.py
+++ b/burdockdrum/passthrough/payloads.py
@@ -6,19 +6,19 @@
 from burdockdrum.http1 import encode_request
 from burdockdrum.http1 import Headers
 from burdockdrum.http1 import without_connection_headers
-from burdockdrum.passthrough.model import PassedRequest
-from burdockdrum.passthrough.vocabulary import HeaderNames
-from burdockdrum.passthrough.vocabulary import HOP_ATTEMPTS
-from burdockdrum.passthrough.vocabulary import HOP_HEADERS
-from burdockdrum.passthrough.vocabulary import HOP_REGION
-from burdockdrum.passthrough.vocabulary import HOP_TEAM
+from burdockdrum.passthrough.header_names import HeaderNames
+from burdockdrum.passthrough.header_names import HOP_ATTEMPTS
+from burdockdrum.passthrough.header_names import HOP_HEADERS
+from burdockdrum.passthrough.header_names import HOP_REGION
+from burdockdrum.passthrough.header_names import HOP_TEAM
+from burdockdrum.passthrough.model import ProxiedRequest
 
 _MILLISECONDS_PER_SECOND = 1000
 # The lowest priority that engines accept.
 MAX_URGENCY = 9
 
 
-class PayloadMaker:
+class PayloadEncoder:
     """Encodes requests as HTTP/1.1, without headers reserved to the proxy."""
 
     def __init__(self, *, names: HeaderNames, region: str) -> None:
@@ -43,7 +43,7 @@
 
     def for_endpoint(
         self,
-        request: PassedRequest,
+        request: ProxiedRequest,
         *,
         endpoint_id: str,
         fetch_from: str | None,
@@ -68,7 +68,7 @@
 
     def for_region(
         self,
-        request: PassedRequest,
+        request: ProxiedRequest,
         *,
         seconds_left: float,
         attempts: int,
@@ -84,7 +84,7 @@
 
     def _common_headers(
         self,
-        request: PassedRequest,
+        request: ProxiedRequest,
         seconds_left: float,
         last_event: int | None,
     ) -> Headers:
@@ -100,7 +100,7 @@
             headers.append((names.last_event, b"%d" % last_event))
         return headers
 
-    def _encode(self, request: PassedRequest, headers: Headers) -> bytes:
+    def _encode(self, request: ProxiedRequest, headers: Headers) -> bytes:
         head = request.head
         if head.body or head.method not in (b"GET", b"HEAD"):
             headers.append((b"content-length", b"%d" % len(head.body)))
--- a/burdockdrum/passthrough/warmth.py
+++ b/burdockdrum/passthrough/prefix_cache_view.py
@@ -88,31 +88,29 @@
     tokens: int
 
 
-class Warmth:
+class PrefixCacheView:
     """Estimates which prompt parts each endpoint has cached."""
 
     def __init__(
         self,
         *,
         read_now: Callable[[], float],
-        ledger: HoldingsLedger | None = None,
+        table: HoldingsLedger | None = None,
         note_shared: Callable[[str], None] = lambda part_id: None,
     ) -> None:
         """Create it without any sent prompts.
 
         :param read_now: returns the monotonic time
-        :param ledger: the cache reports of endpoints
+        :param table: the cache reports of endpoints
         :param note_shared: called with the id of each shared part
         """
         self._read_now = read_now
-        self._cache_reports = (
-            ledger if ledger is not None else HoldingsLedger()
-        )
+        self._cache_reports = table if table is not None else HoldingsLedger()
         self._note_shared = note_shared
         self._sent_by_id: dict[str, SentParts] = {}
         self._pending_notices: list[PlacedParts] = []
 
-    def note_sent(
+    def record_sent(
         self, endpoint_id: str, prompt: Prompt, memory_tokens: int
     ) -> None:
         """Record a prompt that this entry sends to an endpoint."""
@@ -130,12 +128,12 @@
             parts = [(part.part_id, part.tokens) for part in shared]
             self._pending_notices.append(PlacedParts(endpoint_id, parts))
 
-    def take_placed(self) -> list[PlacedParts]:
+    def pop_notices(self) -> list[PlacedParts]:
         """Return and clear the notices for other entries."""
         notices, self._pending_notices = self._pending_notices, []
         return notices
 
-    def hear_placed(self, placed: list[PlacedParts]) -> None:
+    def record_notices(self, placed: list[PlacedParts]) -> None:
         """Record the prompt parts that another entry sent to endpoints."""
         now = self._read_now()
         for notice in placed:
@@ -151,7 +149,7 @@
             )
             self._note_shared_parts(notice.parts)
 
-    def held_tokens(self, endpoint_id: str, prompt: Prompt) -> int:
+    def cached_tokens(self, endpoint_id: str, prompt: Prompt) -> int:
         """Return the length in tokens of a prompt's cached prefix."""
         return self._count_cached_tokens(endpoint_id, prompt.parts)
 
@@ -198,7 +196,7 @@
             return best
         return self.find_reported_holder(prompt, may_fetch, best)
 
-    def keep_only(self, endpoint_ids: Container[str]) -> None:
+    def retain_endpoints(self, endpoint_ids: Container[str]) -> None:
         """Discard the sent parts of all other endpoints."""
         for endpoint_id in list(self._sent_by_id):
             if endpoint_id not in endpoint_ids:
@@ -272,7 +270,9 @@
         return sent
 
 
-def home_of(prompt: Prompt, endpoint_ids: list[str]) -> str | None:
+def choose_prefix_endpoint(
+    prompt: Prompt, endpoint_ids: list[str]
+) -> str | None:
     """Return the endpoint that a prompt's shared prefix is hashed to.
 
     All entries that know the same endpoints choose the same one (rendezvous
--- a/burdockdrum/passthrough/finding.py
+++ b/burdockdrum/passthrough/prefix_finder.py
@@ -7,32 +7,32 @@
 from collections.abc import Callable
 from collections.abc import Sequence
 
-from burdockdrum.passthrough.beginnings import Beginning
-from burdockdrum.passthrough.beginnings import Fetch
-from burdockdrum.passthrough.beginnings import link_seconds
-from burdockdrum.passthrough.beginnings import MIN_FETCH_TOKENS
-from burdockdrum.passthrough.engines import Engines
+from burdockdrum.passthrough.endpoint_rating import REMOTE_LINK_FACTOR
+from burdockdrum.passthrough.engines import EngineEstimates
+from burdockdrum.passthrough.prefix_cache_view import choose_prefix_endpoint
+from burdockdrum.passthrough.prefix_cache_view import PrefixCacheView
+from burdockdrum.passthrough.prefix_cache_view import PrefixHolder
+from burdockdrum.passthrough.prefixes import MIN_FETCH_TOKENS
+from burdockdrum.passthrough.prefixes import PrefixFetch
+from burdockdrum.passthrough.prefixes import PrefixLocation
+from burdockdrum.passthrough.prefixes import transfer_seconds
 from burdockdrum.passthrough.prompts import Prompt
-from burdockdrum.passthrough.rating import FAR_TIMES
-from burdockdrum.passthrough.warmth import home_of
-from burdockdrum.passthrough.warmth import PrefixHolder
-from burdockdrum.passthrough.warmth import Warmth
 from burdockdrum.registrations import RegisteredEndpoint
 from burdockdrum.resources import Backend
 from burdockdrum.settings import MechanismSettings
 
 
-class BeginningFinder:
+class PrefixFinder:
     """Finds cached prefixes in this region and in others."""
 
     def __init__(
         self,
         *,
-        warmth: Warmth,
-        engines: Engines,
+        prefix_cache_view: PrefixCacheView,
+        engines: EngineEstimates,
         list_sources: Callable[[str], list[RegisteredEndpoint]],
         read_region: Callable[[str], str | None],
-        read_lag: Callable[[], float],
+        read_load_age: Callable[[], float],
         mechanisms: MechanismSettings,
     ) -> None:
         """Create a finder.
@@ -40,14 +40,14 @@
         :param list_sources: returns a service's endpoints of this region
             that others may fetch from
         :param read_region: returns the region of a data centre
-        :param read_lag: returns the age in seconds of the reports from other
-            entries
+        :param read_load_age: returns the age in seconds of the reports from
+            other entries
         """
-        self._warmth = warmth
+        self._prefix_cache_view = prefix_cache_view
         self._engines = engines
         self._list_sources = list_sources
         self._read_region = read_region
-        self._read_lag = read_lag
+        self._read_load_age = read_load_age
         self._mechanisms = mechanisms
 
     def find(
@@ -56,7 +56,7 @@
         prompt: Prompt,
         candidates: list[RegisteredEndpoint],
         homes: Sequence[str],
-    ) -> Beginning:
+    ) -> PrefixLocation:
         """Find the holder of a prompt's shared prefix, or who computes it.
 
         :param candidates: the endpoints that may be sent the prompt
@@ -68,28 +68,28 @@
         )
         if has_shared_prefix and self._mechanisms.fetched_beginnings:
             holder = self._find_best_holder(backend, prompt, homes)
-        home = None
+        hashed_id = None
         is_prefix_long = prompt.shared_tokens >= MIN_FETCH_TOKENS
         if holder is None and is_prefix_long and self._mechanisms.hashed_homes:
             ids = [endpoint.endpoint_id for endpoint in candidates]
             if not self._learns_holders_in_time(backend, prompt, ids):
-                home = home_of(prompt, ids)
-        return Beginning(holder=holder, home_id=home)
+                hashed_id = choose_prefix_endpoint(prompt, ids)
+        return PrefixLocation(holder=holder, hashed_endpoint_id=hashed_id)
 
-    def expect_elsewhere(
+    def estimate_in_region(
         self,
         backend: Backend,
         prompt: Prompt,
         region: str,
         homes: Sequence[str],
-    ) -> tuple[int, Fetch | None]:
+    ) -> tuple[int, PrefixFetch | None]:
         """Estimate the work of an endpoint in another region.
 
         :returns: the tokens to prefill, and the transfer if any
         """
         if not self._mechanisms.fetched_beginnings:
             return prompt.tokens, None
-        holder = self._warmth.find_reported_holder(
+        holder = self._prefix_cache_view.find_reported_holder(
             prompt, lambda name: self._read_region(name) == region
         )
         if holder is not None:
@@ -97,11 +97,12 @@
         holder = self._find_best_holder(backend, prompt, homes)
         if holder is None or holder.tokens < MIN_FETCH_TOKENS:
             return prompt.tokens, None
-        fetch = Fetch(
+        fetch = PrefixFetch(
             address=holder.address,
             tokens=holder.tokens,
-            link_seconds=link_seconds(backend, holder.tokens) * FAR_TIMES,
-            is_far=True,
+            transfer_seconds=transfer_seconds(backend, holder.tokens)
+            * REMOTE_LINK_FACTOR,
+            is_cross_region=True,
         )
         return prompt.tokens - holder.tokens, fetch
 
@@ -114,12 +115,12 @@
         it computed at many endpoints. Hashing prevents that until a holder is
         known.
         """
-        if not self._warmth.has_reports(endpoint_ids):
+        if not self._prefix_cache_view.has_reports(endpoint_ids):
             return False
-        seconds = self._engines.reading_seconds(
+        seconds = self._engines.prefill_seconds(
             backend.name, prompt, prompt.shared_tokens
         )
-        return self._read_lag() < seconds
+        return self._read_load_age() < seconds
 
     def _find_best_holder(
         self, backend: Backend, prompt: Prompt, homes: Sequence[str]
@@ -132,7 +133,7 @@
         def may_fetch(data_centre: str) -> bool:
             return not homes or self._read_region(data_centre) in homes
 
-        return self._warmth.find_best_holder(
+        return self._prefix_cache_view.find_best_holder(
             prompt,
             [
                 (e.endpoint_id, e.address, e.data_centre)
--- a/burdockdrum/passthrough/beginnings.py
+++ b/burdockdrum/passthrough/prefixes.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 
-from burdockdrum.passthrough.warmth import PrefixHolder
+from burdockdrum.passthrough.prefix_cache_view import PrefixHolder
 from burdockdrum.resources import Backend
 
 # The prefill of a shorter prefix takes less time than setting up a transfer.
@@ -16,39 +16,40 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Beginning:
+class PrefixLocation:
     """Where the shared prefix of a prompt is cached, or should be.
 
-    ``holder`` is the endpoint to fetch it from. ``home_id`` is the endpoint
-    that hashing assigns the prefix to while nobody has it; None for any.
+    ``holder`` is the endpoint to fetch it from. ``hashed_endpoint_id`` is the
+    endpoint that hashing assigns the prefix to while nobody has it; None for
+    any.
     """
 
     holder: PrefixHolder | None
-    home_id: str | None
+    hashed_endpoint_id: str | None
 
-    def fetchable(self, endpoint_id: str, held_tokens: int) -> int:
+    def fetchable_tokens(self, endpoint_id: str, cached_tokens: int) -> int:
         """Return how many tokens an endpoint should fetch from the holder."""
         if self.holder is None or self.holder.endpoint_id == endpoint_id:
             return 0
-        more = self.holder.tokens - held_tokens
+        more = self.holder.tokens - cached_tokens
         return more if more >= MIN_FETCH_TOKENS else 0
 
 
 @dataclass(frozen=True, kw_only=True)
-class Fetch:
+class PrefixFetch:
     """A transfer of cached tokens from another endpoint.
 
-    ``link_seconds`` is the transfer time by the bandwidth of the links;
-    ``is_far`` says whether the source is in another region.
+    ``transfer_seconds`` is the transfer time by the bandwidth of the links;
+    ``is_cross_region`` says whether the source is in another region.
     """
 
     address: str
     tokens: int
-    link_seconds: float
-    is_far: bool = False
+    transfer_seconds: float
+    is_cross_region: bool = False
 
 
-def link_seconds(backend: Backend, tokens: int) -> float:
+def transfer_seconds(backend: Backend, tokens: int) -> float:
     """Return the transfer time of tokens over the link of an endpoint.
 
     Zero if the bandwidth of the backend's engine is not known.
--- a/burdockdrum/passthrough/prompts.py
+++ b/burdockdrum/passthrough/prompts.py
@@ -24,21 +24,21 @@
     """The size of a prompt and its parts in order.
 
     The last part is specific to the request or its session; those before it
-    form the shared prefix. ``max_output`` and ``hinted_output`` are the limit
-    and the caller's estimate of output tokens.
+    form the shared prefix. ``max_output_tokens`` is the limit of the output,
+    ``hinted_output_tokens`` the caller's estimate of it.
     """
 
     tokens: int = 0
-    max_output: int = 0
-    hinted_output: int | None = None
+    max_output_tokens: int = 0
+    hinted_output_tokens: int | None = None
     parts: tuple[PromptPart, ...] = ()
 
     @property
-    def expected_output(self) -> int:
+    def expected_output_tokens(self) -> int:
         """Return the expected number of output tokens."""
-        if self.hinted_output is None:
-            return self.max_output
-        return min(self.hinted_output, self.max_output)
+        if self.hinted_output_tokens is None:
+            return self.max_output_tokens
+        return min(self.hinted_output_tokens, self.max_output_tokens)
 
     @property
     def shared_tokens(self) -> int:
@@ -58,11 +58,11 @@
 
     Routing can do without them, so they never fail a request.
     """
-    tokens, max_output = _parse_counts(counts)
+    tokens, max_output_tokens = _parse_counts(counts)
     return Prompt(
         tokens=tokens,
-        max_output=max_output,
-        hinted_output=parse_count(hint),
+        max_output_tokens=max_output_tokens,
+        hinted_output_tokens=parse_count(hint),
         parts=_parse_parts(parts),
     )
 
@@ -71,10 +71,10 @@
     numbers = (value or b"").split(b",")
     if len(numbers) != 2:
         return 0, 0
-    tokens, max_output = map(parse_count, numbers)
-    if tokens is None or max_output is None:
+    tokens, max_output_tokens = map(parse_count, numbers)
+    if tokens is None or max_output_tokens is None:
         return 0, 0
-    return tokens, max_output
+    return tokens, max_output_tokens
 
 
 def _parse_parts(value: bytes | None) -> tuple[PromptPart, ...]:
--- a/burdockdrum/passthrough/refusing.py
+++ b/burdockdrum/passthrough/refusal_responses.py
@@ -6,8 +6,8 @@
 
 from burdockdrum.http1 import Exchange
 from burdockdrum.http1 import Headers
-from burdockdrum.passthrough.vocabulary import TIMED_OUT_STATUS
-from burdockdrum.passthrough.vocabulary import VERDICT
+from burdockdrum.passthrough.header_names import TIMED_OUT_STATUS
+from burdockdrum.passthrough.header_names import VERDICT
 from burdockdrum.verdicts import Refusal
 from burdockdrum.verdicts import RefusalCode
 from burdockdrum.verdicts import Verdict
@@ -22,29 +22,27 @@
 }
 NOT_RUN_STATUS = 503
 QUOTA_EXCEEDED_STATUS = 429
-LOST_STATUS = 502
+MAYBE_RUN_STATUS = 502
 # Statuses by which callers conclude that the request has not run.
-PROMISING_STATUSES = frozenset(
-    {408, 421, QUOTA_EXCEEDED_STATUS, NOT_RUN_STATUS}
-)
+NOT_RUN_STATUSES = frozenset({408, 421, QUOTA_EXCEEDED_STATUS, NOT_RUN_STATUS})
 
 
 def status_of(refusal: Refusal) -> int:
     """Return the HTTP status of a refusal.
 
-    Callers send a request again after one of ``PROMISING_STATUSES``, so that
+    Callers send a request again after one of ``NOT_RUN_STATUSES``, so that
     these must not be used for a request that may have run.
     """
     if refusal.verdict is not Verdict.NOT_RUN:
         if refusal.code is RefusalCode.DEADLINE:
             return TIMED_OUT_STATUS
-        return LOST_STATUS
+        return MAYBE_RUN_STATUS
     if refusal.code is RefusalCode.QUOTA:
         return QUOTA_EXCEEDED_STATUS
     return _FINAL_STATUS_BY_CODE.get(refusal.code, NOT_RUN_STATUS)
 
 
-def answer_refusal(
+def send_refusal(
     exchange: Exchange, refusal: Refusal, identity: Headers, *, to_vm: bool
 ) -> None:
     """Respond to a request with a refusal.
@@ -54,7 +52,7 @@
     """
     status = status_of(refusal)
     headers = [*identity, (b"content-type", b"text/plain; charset=utf-8")]
-    if status in PROMISING_STATUSES:
+    if status in NOT_RUN_STATUSES:
         seconds = refusal.retry_after or DEFAULT_RETRY_AFTER_SECONDS
         headers.append((b"retry-after", b"%.2f" % seconds))
     if to_vm:
--- a/burdockdrum/passthrough/regions.py
+++ b/burdockdrum/passthrough/region_rating.py
@@ -6,15 +6,15 @@
 from collections.abc import Callable
 
 from burdockdrum.passthrough.attempts import HOP_DELAY_SECONDS
+from burdockdrum.passthrough.endpoint_rating import crossing_seconds
 from burdockdrum.passthrough.fleet import Fleet
-from burdockdrum.passthrough.model import PassedRequest
-from burdockdrum.passthrough.model import Progress
-from burdockdrum.passthrough.rating import crossing_seconds
-from burdockdrum.passthrough.waiting import decode_risk_seconds
-from burdockdrum.passthrough.waiting import estimate_queue
-from burdockdrum.passthrough.waiting import preemption_seconds
-from burdockdrum.passthrough.waiting import RECENT_WINDOW_SECONDS
-from burdockdrum.passthrough.waiting import Wait
+from burdockdrum.passthrough.model import ProxiedRequest
+from burdockdrum.passthrough.model import RequestProgress
+from burdockdrum.passthrough.wait_estimates import decode_risk_seconds
+from burdockdrum.passthrough.wait_estimates import estimate_queue
+from burdockdrum.passthrough.wait_estimates import ExpectedWait
+from burdockdrum.passthrough.wait_estimates import preemption_seconds
+from burdockdrum.passthrough.wait_estimates import RECENT_WINDOW_SECONDS
 from burdockdrum.ports import Clock
 from burdockdrum.registrations import Load
 from burdockdrum.registrations import ServiceRoom
@@ -33,38 +33,38 @@
         clock: Clock,
         fleet: Fleet,
         region: str,
-        read_rooms: Callable[[], list[ServiceRoom]],
+        read_capacities: Callable[[], list[ServiceRoom]],
         mechanisms: MechanismSettings,
         crossing_seconds: float,
     ) -> None:
         """Create it for the entry VMs of a region.
 
-        :param read_rooms: returns the load and capacity of each region
+        :param read_capacities: returns the load and capacity of each region
         :param crossing_seconds: seconds of waiting that equal the cost of
             sending a megabyte to another region
         """
         self._clock = clock
         self._fleet = fleet
         self._region = region
-        self._read_rooms = read_rooms
+        self._read_capacities = read_capacities
         self._mechanisms = mechanisms
         self._crossing_seconds = crossing_seconds
 
     def rate(
-        self, request: PassedRequest, progress: Progress
-    ) -> list[tuple[Wait, str]]:
+        self, request: ProxiedRequest, progress: RequestProgress
+    ) -> list[tuple[ExpectedWait, str]]:
         """Return the waits in all eligible regions, best first."""
         waits = [
             (self._estimate(request, candidate), candidate.region)
-            for candidate in self._read_rooms()
+            for candidate in self._read_capacities()
             if self._is_eligible(request, progress, candidate)
         ]
         return sorted(waits, key=lambda pair: pair[0].total)
 
     def _is_eligible(
         self,
-        request: PassedRequest,
-        progress: Progress,
+        request: ProxiedRequest,
+        progress: RequestProgress,
         candidate: ServiceRoom,
     ) -> bool:
         homes = request.route.homes
@@ -77,11 +77,13 @@
         )
 
     def _estimate(
-        self, request: PassedRequest, candidate: ServiceRoom
-    ) -> Wait:
+        self, request: ProxiedRequest, candidate: ServiceRoom
+    ) -> ExpectedWait:
         load = Load.of(candidate.ranks).times(1 / candidate.endpoints)
         service = candidate.service
-        token_seconds = self._fleet.engines.token_seconds(service)
+        prefill_token_seconds = self._fleet.engines.prefill_token_seconds(
+            service
+        )
         slots = max(1, candidate.slots // candidate.endpoints)
         run_seconds = self._fleet.run_seconds(service)
         rank = request.route.rank
@@ -90,25 +92,27 @@
             rank=rank,
             slots=slots,
             run_seconds=run_seconds,
-            token_seconds=token_seconds,
+            prefill_token_seconds=prefill_token_seconds,
             counts_arrivals=self._mechanisms.urgent_share,
         )
         crossing = crossing_seconds(
             len(request.head.body), self._crossing_seconds
         )
         if request.backend.engine is None:
-            return Wait(queue=queue, own=HOP_DELAY_SECONDS, penalty=crossing)
+            return ExpectedWait(
+                queue=queue, service_time=HOP_DELAY_SECONDS, penalty=crossing
+            )
         preemption = 0.0
         if self._mechanisms.full_slots:
             preemption = preemption_seconds(
                 load, rank=rank, slots=slots, run_seconds=run_seconds
             )
         prefill_share = (
-            load.recent_tokens * token_seconds / RECENT_WINDOW_SECONDS
+            load.recent_tokens * prefill_token_seconds / RECENT_WINDOW_SECONDS
         )
-        return Wait(
+        return ExpectedWait(
             queue=queue,
-            own=self._own_seconds(request, candidate.region)
+            service_time=self._service_time(request, candidate.region)
             + HOP_DELAY_SECONDS,
             penalty=self._decode_risk(request, prefill_share)
             + crossing
@@ -118,29 +122,29 @@
             ),
         )
 
-    def _own_seconds(self, request: PassedRequest, region: str) -> float:
+    def _service_time(self, request: ProxiedRequest, region: str) -> float:
         """Return the expected prefill time in a region.
 
         An endpoint there may have a prefix cached, or fetch one.
         """
         engines = self._fleet.engines
         service, prompt = request.backend.name, request.prompt
-        unread, fetch = self._fleet.beginnings.expect_elsewhere(
+        unread, fetch = self._fleet.prefixes.estimate_in_region(
             request.backend, prompt, region, request.route.homes
         )
-        prefill = engines.reading_seconds(service, prompt, unread)
+        prefill = engines.prefill_seconds(service, prompt, unread)
         fetching = engines.fetch_seconds(service, fetch)
-        full_prefill = engines.reading_seconds(service, prompt, prompt.tokens)
-        return engines.first_seconds(service) + min(
+        full_prefill = engines.prefill_seconds(service, prompt, prompt.tokens)
+        return engines.first_token_seconds(service) + min(
             full_prefill, prefill + fetching
         )
 
     def _decode_risk(
-        self, request: PassedRequest, prefill_share: float
+        self, request: ProxiedRequest, prefill_share: float
     ) -> float:
         if not self._mechanisms.writing_risk:
             return 0.0
-        step = self._fleet.engines.step_seconds(
+        step = self._fleet.engines.decode_step_seconds(
             request.backend.name, prefill_share
         )
         left = request.deadline - self._clock.monotonic()
--- a/burdockdrum/passthrough/relay.py
+++ b/burdockdrum/passthrough/relay.py
@@ -10,32 +10,32 @@
 from burdockdrum.http1 import Exchange
 from burdockdrum.logs import log_failure
 from burdockdrum.metrics import Metrics
-from burdockdrum.passthrough.attempts import Attempts
-from burdockdrum.passthrough.attempts import handed_attempts
-from burdockdrum.passthrough.events import EventCutter
+from burdockdrum.passthrough.attempts import AttemptRunner
+from burdockdrum.passthrough.attempts import forwarded_attempts
+from burdockdrum.passthrough.events import ResumableEventSplitter
+from burdockdrum.passthrough.header_names import HeaderNames
+from burdockdrum.passthrough.header_names import HOP_USED_ATTEMPTS
 from burdockdrum.passthrough.limits import RetryBudget
-from burdockdrum.passthrough.model import Answered
 from burdockdrum.passthrough.model import Delivered
-from burdockdrum.passthrough.model import EndpointPlace
+from burdockdrum.passthrough.model import EndpointTarget
+from burdockdrum.passthrough.model import ErrorResponse
 from burdockdrum.passthrough.model import Lost
 from burdockdrum.passthrough.model import NotStarted
 from burdockdrum.passthrough.model import Outcome
-from burdockdrum.passthrough.model import PassedRequest
-from burdockdrum.passthrough.model import Place
-from burdockdrum.passthrough.model import Progress
-from burdockdrum.passthrough.model import RegionPlace
-from burdockdrum.passthrough.placing import Placing
-from burdockdrum.passthrough.reading import RequestReader
-from burdockdrum.passthrough.refusing import answer_refusal
-from burdockdrum.passthrough.refusing import LOST_STATUS
-from burdockdrum.passthrough.refusing import PROMISING_STATUSES
-from burdockdrum.passthrough.refusing import status_of
+from burdockdrum.passthrough.model import ProxiedRequest
+from burdockdrum.passthrough.model import RegionTarget
+from burdockdrum.passthrough.model import RequestProgress
+from burdockdrum.passthrough.model import Target
+from burdockdrum.passthrough.refusal_responses import MAYBE_RUN_STATUS
+from burdockdrum.passthrough.refusal_responses import NOT_RUN_STATUSES
+from burdockdrum.passthrough.refusal_responses import send_refusal
+from burdockdrum.passthrough.refusal_responses import status_of
 from burdockdrum.passthrough.request_log import log_attempt
 from burdockdrum.passthrough.request_log import log_disconnect
-from burdockdrum.passthrough.responses import AnswerCut
-from burdockdrum.passthrough.responses import ResponseReader
-from burdockdrum.passthrough.vocabulary import HeaderNames
-from burdockdrum.passthrough.vocabulary import HOP_USED_ATTEMPTS
+from burdockdrum.passthrough.request_reader import RequestReader
+from burdockdrum.passthrough.responses import ResponseClassifier
+from burdockdrum.passthrough.responses import ResponseTruncated
+from burdockdrum.passthrough.target_selection import TargetSelector
 from burdockdrum.ports import Clock
 from burdockdrum.quotas import QuotaMeter
 from burdockdrum.settings import MechanismSettings
@@ -58,9 +58,9 @@
         clock: Clock,
         names: HeaderNames,
         reader: RequestReader,
-        placing: Placing,
-        attempts: Attempts,
-        responses: ResponseReader,
+        selector: TargetSelector,
+        runner: AttemptRunner,
+        responses: ResponseClassifier,
         budget: RetryBudget,
         drain: Drain,
         configuration: ConfigurationService,
@@ -79,8 +79,8 @@
         self._clock = clock
         self._names = names
         self._reader = reader
-        self._placing = placing
-        self._attempts = attempts
+        self._selector = selector
+        self._runner = runner
         self._responses = responses
         self._budget = budget
         self._requests_total = metrics.counter(
@@ -124,17 +124,17 @@
         except Refusal as refusal:
             self._refuse(exchange, refusal, None, is_hop=is_hop)
             return "refused"
-        progress = Progress()
+        progress = RequestProgress()
         try:
             await self._run(request, progress, exchange)
         except Refusal as refusal:
-            if request.taken is not None and not progress.runs:
-                self._meter.give_back(request.taken)
+            if request.quota_charge is not None and not progress.runs:
+                self._meter.give_back(request.quota_charge)
             self._refuse(
                 exchange, refusal, request, is_hop=is_hop, runs=progress.runs
             )
             return "refused"
-        except AnswerCut as error:
+        except ResponseTruncated as error:
             log_failure(
                 "request.cut",
                 request_id=request.request_id,
@@ -160,42 +160,47 @@
         await self._configuration.wait_until_known(seconds)
 
     async def _run(
-        self, request: PassedRequest, progress: Progress, exchange: Exchange
+        self,
+        request: ProxiedRequest,
+        progress: RequestProgress,
+        exchange: Exchange,
     ) -> None:
-        if request.came_from is None:
-            self._budget.note_request(request.backend.name)
-        cutter = EventCutter(last_number=request.last_event)
+        if request.forwarded_from is None:
+            self._budget.deposit(request.backend.name)
+        splitter = ResumableEventSplitter(last_number=request.last_event)
         while True:
             try:
-                place = self._placing.place(request, progress)
+                target = self._selector.select(request, progress)
             except Refusal as refusal:
-                self._finish_without_place(
+                self._finish_without_target(
                     request, progress, exchange, refusal
                 )
                 return
-            progress.place = place
+            progress.target = target
             started_at = self._clock.monotonic()
-            outcome = await self._attempts.make(
-                place, request, progress, exchange, cutter
+            outcome = await self._runner.execute(
+                target, request, progress, exchange, splitter
+            )
+            progress.last_event = splitter.last_number
+            self._report_attempt(
+                target, request, progress, outcome, started_at
             )
-            progress.last_event = cutter.last_number
-            self._report_attempt(place, request, progress, outcome, started_at)
             if isinstance(outcome, Delivered):
                 return
-            self._record_outcome(place, request, progress, outcome)
+            self._record_outcome(target, request, progress, outcome)
             if not self._may_retry(request, progress, outcome):
                 self._finish_failed(request, progress, exchange, outcome)
                 return
 
-    def _finish_without_place(
+    def _finish_without_target(
         self,
-        request: PassedRequest,
-        progress: Progress,
+        request: ProxiedRequest,
+        progress: RequestProgress,
         exchange: Exchange,
         refusal: Refusal,
     ) -> None:
         if exchange.started:
-            raise AnswerCut(refusal.message)
+            raise ResponseTruncated(refusal.message)
         if progress.failure is None:
             raise refusal
         # The endpoint's error is more specific than the refusal.
@@ -205,15 +210,15 @@
 
     def _record_outcome(
         self,
-        place: Place,
-        request: PassedRequest,
-        progress: Progress,
+        target: Target,
+        request: ProxiedRequest,
+        progress: RequestProgress,
         outcome: Outcome,
     ) -> None:
-        match place:
-            case EndpointPlace(choice=choice):
+        match target:
+            case EndpointTarget(choice=choice):
                 progress.tried.add(choice.endpoint.endpoint_id)
-            case RegionPlace(vm_id=vm_id, region=region):
+            case RegionTarget(vm_id=vm_id, region=region):
                 progress.tried.add(vm_id)
                 if not isinstance(outcome, NotStarted) or outcome.retry_after:
                     progress.tried_regions.add(region)
@@ -223,23 +228,28 @@
             case Lost(reason=reason):
                 progress.last_reason = reason
                 progress.verdict = Verdict.MAY_HAVE_RUN
-                progress.runs += _count_runs(place, outcome, request, progress)
-            case Answered(runs=runs):
+                progress.runs += _count_runs(
+                    target, outcome, request, progress
+                )
+            case ErrorResponse(runs=runs):
                 progress.runs += runs
                 progress.verdict = Verdict.RAN
                 progress.failure = outcome
 
     def _may_retry(
-        self, request: PassedRequest, progress: Progress, outcome: Outcome
+        self,
+        request: ProxiedRequest,
+        progress: RequestProgress,
+        outcome: Outcome,
     ) -> bool:
         if request.deadline <= self._clock.monotonic():
             return False
         if len(progress.tried) >= MAX_NOT_STARTED_ATTEMPTS + request.attempts:
             return False
-        if isinstance(outcome, Answered) and outcome.head.status < 500:
+        if isinstance(outcome, ErrorResponse) and outcome.head.status < 500:
             return False
         must_not_rerun = (
-            not request.may_repeat or progress.runs >= request.attempts
+            not request.is_retryable or progress.runs >= request.attempts
         )
         if progress.runs and must_not_rerun:
             return False
@@ -248,20 +258,20 @@
         )
         if not reached:
             return True
-        if progress.has_paid_retry:
-            progress.has_paid_retry = False
+        if progress.has_acquired_retry:
+            progress.has_acquired_retry = False
             return True
-        return self._budget.take(request.backend.name)
+        return self._budget.try_withdraw(request.backend.name)
 
     def _finish_failed(
         self,
-        request: PassedRequest,
-        progress: Progress,
+        request: ProxiedRequest,
+        progress: RequestProgress,
         exchange: Exchange,
         outcome: Outcome,
     ) -> None:
         if exchange.started:
-            raise AnswerCut(progress.last_reason)
+            raise ResponseTruncated(progress.last_reason)
         if progress.failure is not None:
             self._forward_failure(
                 request, exchange, progress.failure, progress.runs
@@ -284,29 +294,29 @@
 
     def _forward_failure(
         self,
-        request: PassedRequest,
+        request: ProxiedRequest,
         exchange: Exchange,
-        failure: Answered,
+        failure: ErrorResponse,
         runs: int,
     ) -> None:
         headers = self._responses.headers_for_caller(failure.head)
-        if request.came_from is not None:
+        if request.forwarded_from is not None:
             headers.append((HOP_USED_ATTEMPTS, b"%d" % runs))
         status = failure.head.status
-        if status in PROMISING_STATUSES:
+        if status in NOT_RUN_STATUSES:
             # These statuses promise that the request has not run, but it
             # has. The replaced status is not the endpoint's, so its
             # provenance header is removed.
             provenance = self._names.provenance
             headers = [h for h in headers if h[0].lower() != provenance]
-            status = LOST_STATUS
+            status = MAYBE_RUN_STATUS
         exchange.answer(status, headers, failure.body)
 
     def _refuse(
         self,
         exchange: Exchange,
         refusal: Refusal,
-        request: PassedRequest | None,
+        request: ProxiedRequest | None,
         *,
         is_hop: bool,
         runs: int = 0,
@@ -328,23 +338,23 @@
         )
         if is_hop:
             identity.append((HOP_USED_ATTEMPTS, b"%d" % runs))
-        answer_refusal(exchange, refusal, identity, to_vm=is_hop)
+        send_refusal(exchange, refusal, identity, to_vm=is_hop)
 
     def _report_attempt(
         self,
-        place: Place,
-        request: PassedRequest,
-        progress: Progress,
+        target: Target,
+        request: ProxiedRequest,
+        progress: RequestProgress,
         outcome: Outcome,
         started_at: float,
     ) -> None:
         now = self._clock.monotonic()
         first_byte_seconds = None
-        if progress.first_part_at is not None:
-            first_byte_seconds = progress.first_part_at - started_at
-            self._record_estimate_error(place, first_byte_seconds)
+        if progress.first_chunk_at is not None:
+            first_byte_seconds = progress.first_chunk_at - started_at
+            self._record_estimate_error(target, first_byte_seconds)
         log_attempt(
-            place,
+            target,
             request,
             progress,
             outcome,
@@ -354,27 +364,30 @@
         )
 
     def _record_estimate_error(
-        self, place: Place, first_byte_seconds: float
+        self, target: Target, first_byte_seconds: float
     ) -> None:
         """Record the error of the estimate that an endpoint was chosen by."""
-        if not isinstance(place, EndpointPlace):
+        if not isinstance(target, EndpointTarget):
             return
-        wait = place.choice.wait
-        error = first_byte_seconds - wait.queue - wait.own
+        wait = target.choice.wait
+        error = first_byte_seconds - wait.queue - wait.service_time
         side = "later" if error > 0 else "sooner"
         self._estimate_errors.record(abs(error), side=side)
 
 
 def _count_runs(
-    place: Place, lost: Lost, request: PassedRequest, progress: Progress
+    target: Target,
+    lost: Lost,
+    request: ProxiedRequest,
+    progress: RequestProgress,
 ) -> int:
     """Return how many endpoints may have run a lost attempt.
 
     An entry of another region that does not report a number may have used
     every attempt that it was granted.
     """
-    if isinstance(place, EndpointPlace):
+    if isinstance(target, EndpointTarget):
         return 1
     if lost.runs is not None:
         return lost.runs
-    return handed_attempts(request, progress)
+    return forwarded_attempts(request, progress)
--- a/burdockdrum/passthrough/request_log.py
+++ b/burdockdrum/passthrough/request_log.py
@@ -4,18 +4,18 @@
 from burdockdrum.logs import log_failure
 from burdockdrum.logs import Value
 from burdockdrum.passthrough.model import Delivered
-from burdockdrum.passthrough.model import EndpointPlace
+from burdockdrum.passthrough.model import EndpointTarget
 from burdockdrum.passthrough.model import Outcome
-from burdockdrum.passthrough.model import PassedRequest
-from burdockdrum.passthrough.model import Place
-from burdockdrum.passthrough.model import Progress
-from burdockdrum.passthrough.model import RegionPlace
+from burdockdrum.passthrough.model import ProxiedRequest
+from burdockdrum.passthrough.model import RegionTarget
+from burdockdrum.passthrough.model import RequestProgress
+from burdockdrum.passthrough.model import Target
 
 
 def log_attempt(
-    place: Place,
-    request: PassedRequest,
-    progress: Progress,
+    target: Target,
+    request: ProxiedRequest,
+    progress: RequestProgress,
     outcome: Outcome,
     *,
     started_at: float,
@@ -38,65 +38,65 @@
         generation=request.revision,
         team=request.team,
         rank=request.route.rank,
-        **_describe(place, request),
+        **_describe(target, request),
         prompt_tokens=request.prompt.tokens,
         shared_tokens=request.prompt.shared_tokens,
-        expected_output=request.prompt.expected_output,
+        expected_output=request.prompt.expected_output_tokens,
         last_event=progress.last_event,
         outcome=outcome.log_name,
         reason=getattr(outcome, "reason", None),
         first_seconds=None
         if first_byte_seconds is None
         else _round(first_byte_seconds),
-        longest_pause=_round(progress.longest_pause),
+        longest_pause=_round(progress.longest_gap_seconds),
         seconds=_round(now - started_at),
         since_received=_round(now - request.received_at),
     )
 
 
 def log_disconnect(
-    request: PassedRequest, progress: Progress, now: float
+    request: ProxiedRequest, progress: RequestProgress, now: float
 ) -> None:
     """Log the progress of a request whose caller disconnected."""
     received_at = request.received_at
-    first_at = progress.first_part_at
-    last_at = progress.last_part_at or first_at
-    place = progress.place
+    first_at = progress.first_chunk_at
+    last_at = progress.last_chunk_at or first_at
+    target = progress.target
     log_failure(
         "request.left",
         request_id=request.request_id,
         route=request.route.name,
         team=request.team,
-        **(_describe(place, request) if place is not None else {}),
+        **(_describe(target, request) if target is not None else {}),
         prompt_tokens=request.prompt.tokens,
-        expected_output=request.prompt.expected_output,
-        parts=progress.parts,
+        expected_output=request.prompt.expected_output_tokens,
+        parts=progress.chunks_sent,
         first_part=None
         if first_at is None
         else _round(first_at - received_at),
         last_part=None if last_at is None else _round(last_at - received_at),
-        longest_pause=_round(progress.longest_pause),
+        longest_pause=_round(progress.longest_gap_seconds),
         since_received=_round(now - received_at),
         seconds_left=_round(request.deadline - now),
     )
 
 
-def _describe(place: Place, request: PassedRequest) -> dict[str, Value]:
+def _describe(target: Target, request: ProxiedRequest) -> dict[str, Value]:
     """Return the target of an attempt and the estimates for it."""
-    match place:
-        case EndpointPlace(choice=choice):
+    match target:
+        case EndpointTarget(choice=choice):
             return {
                 "place": choice.endpoint.endpoint_id,
                 "expected_wait": _round(choice.wait.total),
                 "expected_queue": _round(choice.wait.queue),
-                "expected_own": _round(choice.wait.own),
+                "expected_own": _round(choice.wait.service_time),
                 "unread_tokens": choice.unread_tokens,
                 "fetch_from": choice.fetch_from,
             }
-        case RegionPlace(vm_id=vm_id):
+        case RegionTarget(vm_id=vm_id):
             return {
                 "place": vm_id,
-                "expected_wait": _round(place.wait_seconds),
+                "expected_wait": _round(target.wait_seconds),
                 "unread_tokens": request.prompt.tokens,
             }
 
--- a/burdockdrum/passthrough/reading.py
+++ b/burdockdrum/passthrough/request_reader.py
@@ -12,14 +12,14 @@
 from burdockdrum.callers import route_for
 from burdockdrum.http1 import parse_count
 from burdockdrum.http1 import RequestHead
-from burdockdrum.passthrough.model import PassedRequest
+from burdockdrum.passthrough.header_names import HeaderNames
+from burdockdrum.passthrough.header_names import HOP_ATTEMPTS
+from burdockdrum.passthrough.header_names import HOP_REGION
+from burdockdrum.passthrough.header_names import HOP_TEAM
+from burdockdrum.passthrough.model import ProxiedRequest
 from burdockdrum.passthrough.prompts import parse_prompt
-from burdockdrum.passthrough.table import choose_service
-from burdockdrum.passthrough.table import RouteIndex
-from burdockdrum.passthrough.vocabulary import HeaderNames
-from burdockdrum.passthrough.vocabulary import HOP_ATTEMPTS
-from burdockdrum.passthrough.vocabulary import HOP_REGION
-from burdockdrum.passthrough.vocabulary import HOP_TEAM
+from burdockdrum.passthrough.route_index import choose_service
+from burdockdrum.passthrough.route_index import RouteIndex
 from burdockdrum.ports import Clock
 from burdockdrum.quotas import QuotaMeter
 from burdockdrum.quotas import Taken
@@ -38,7 +38,7 @@
 
 
 class RequestReader:
-    """Builds a ``PassedRequest`` from the head of a request."""
+    """Builds a ``ProxiedRequest`` from the head of a request."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
             deadline_ms / _MILLISECONDS_PER_SECOND * HOLD_DEADLINE_FRACTION,
         )
 
-    def read(self, head: RequestHead, *, is_hop: bool) -> PassedRequest:
+    def read(self, head: RequestHead, *, is_hop: bool) -> ProxiedRequest:
         """Parse a request and charge it to the rate limit of its team.
 
         :param is_hop: whether another entry forwarded it
@@ -106,11 +106,11 @@
             head.find(names.prompt_parts),
             head.find(names.length_hint),
         )
-        taken: Taken | None = None
+        quota_charge: Taken | None = None
         if caller is not None and not is_hop:
-            tokens = prompt.tokens + prompt.max_output
-            taken = self._meter.take(caller, tokens)
-        return PassedRequest(
+            tokens = prompt.tokens + prompt.max_output_tokens
+            quota_charge = self._meter.take(caller, tokens)
+        return ProxiedRequest(
             request_id=(given_id or secrets.token_hex(8).encode()).decode(
                 "latin-1"
             ),
@@ -122,10 +122,10 @@
             deadline=head.received_at + seconds_left,
             attempts=attempts,
             last_event=parse_count(head.find(names.last_event)),
-            came_from=region.decode("latin-1") if region else None,
+            forwarded_from=region.decode("latin-1") if region else None,
             revision=index.generation,
             team=caller.team if caller is not None else None,
-            taken=taken,
+            quota_charge=quota_charge,
         )
 
     def _find_caller(
--- a/burdockdrum/passthrough/learning.py
+++ b/burdockdrum/passthrough/request_timings.py
@@ -4,9 +4,9 @@
 nothing about the speed of prefill.
 """
 
-from burdockdrum.passthrough.engines import Engines
+from burdockdrum.passthrough.endpoint_state import InFlightRequest
+from burdockdrum.passthrough.engines import EngineEstimates
 from burdockdrum.passthrough.estimate_errors import EstimateErrors
-from burdockdrum.passthrough.tracks import Placement
 from burdockdrum.resources import Backend
 
 # Assumed until a request of the service has completed.
@@ -17,13 +17,13 @@
 # the request are at most this fraction of its own.
 MAX_QUEUED_FRACTION = 0.1
 # Floor of a sample, so that a coarse clock doesn't yield zero.
-MIN_FIRST_PART_SECONDS = 0.001
+MIN_FIRST_CHUNK_SECONDS = 0.001
 
 
 class RequestTimings:
     """Average run times and estimate errors by service."""
 
-    def __init__(self, *, engines: Engines) -> None:
+    def __init__(self, *, engines: EngineEstimates) -> None:
         """Start without observations.
 
         :param engines: receives samples of prefill, decode and fetch times
@@ -47,59 +47,72 @@
             mean * _AVERAGE_DECAY + seconds * (1 - _AVERAGE_DECAY)
         )
 
-    def record_first_token(self, placement: Placement, now: float) -> None:
+    def record_first_token(
+        self, in_flight_request: InFlightRequest, now: float
+    ) -> None:
         """Record the time to first token of a request."""
-        choice = placement.choice
+        choice = in_flight_request.choice
         wait = choice.wait
         self.errors_of(choice.endpoint.service).record(
-            placement.rank,
+            in_flight_request.rank,
             choice.prefill_share,
-            now - placement.began_at - wait.queue - wait.own,
+            now - in_flight_request.began_at - wait.queue - wait.service_time,
         )
         unread = choice.unread_tokens
         if choice.queued_tokens > unread * MAX_QUEUED_FRACTION:
             return
         service = choice.endpoint.service
-        seconds = max(MIN_FIRST_PART_SECONDS, now - placement.began_at)
+        seconds = max(
+            MIN_FIRST_CHUNK_SECONDS, now - in_flight_request.began_at
+        )
         if choice.fetch is None:
             self._engines.record_first_token(
                 service,
                 choice.endpoint.endpoint_id,
-                placement.prompt,
+                in_flight_request.prompt,
                 unread,
                 seconds,
             )
             return
         fetching = self._engines.fetch_seconds(service, choice.fetch)
-        rest = wait.own - fetching
-        self._engines.note_fetch(
+        rest = wait.service_time - fetching
+        self._engines.record_fetch(
             service,
             choice.fetch,
-            max(MIN_FIRST_PART_SECONDS, seconds - rest),
+            max(MIN_FIRST_CHUNK_SECONDS, seconds - rest),
         )
 
     def record_completion(
-        self, placement: Placement, backend: Backend, now: float
+        self, in_flight_request: InFlightRequest, backend: Backend, now: float
     ) -> None:
         """Record a complete response."""
         # Time in the endpoint's queue doesn't hold a slot.
-        began = placement.began_at
-        if placement.first_output_at is not None:
+        began = in_flight_request.began_at
+        if in_flight_request.first_output_at is not None:
             began = max(
-                began, placement.first_output_at - placement.choice.wait.own
+                began,
+                in_flight_request.first_output_at
+                - in_flight_request.choice.wait.service_time,
             )
-        self.record_run(placement.endpoint.service, now - began)
-        self._record_decode(placement, backend)
+        self.record_run(in_flight_request.endpoint.service, now - began)
+        self._record_decode(in_flight_request, backend)
 
-    def _record_decode(self, placement: Placement, backend: Backend) -> None:
-        first, last = placement.first_output_at, placement.last_output_at
+    def _record_decode(
+        self, in_flight_request: InFlightRequest, backend: Backend
+    ) -> None:
+        first, last = (
+            in_flight_request.first_output_at,
+            in_flight_request.last_output_at,
+        )
         engine = backend.engine
         if engine is None or first is None or last is None:
             return
-        tokens = (placement.parts - 1) * engine.tokens_an_event
+        tokens = (
+            in_flight_request.chunks_received - 1
+        ) * engine.tokens_an_event
         if tokens > 0 and last > first:
             self._engines.record_decode(
-                placement.endpoint.service,
+                in_flight_request.endpoint.service,
                 (last - first) / tokens,
-                placement.choice.prefill_share,
+                in_flight_request.choice.prefill_share,
             )
--- a/burdockdrum/passthrough/responses.py
+++ b/burdockdrum/passthrough/responses.py
@@ -11,13 +11,13 @@
 from burdockdrum.http1 import ResponseHead
 from burdockdrum.http1 import ResponseLost
 from burdockdrum.http1 import without_connection_headers
+from burdockdrum.passthrough.header_names import HeaderNames
+from burdockdrum.passthrough.header_names import HOP_HEADERS
+from burdockdrum.passthrough.header_names import HOP_USED_ATTEMPTS
+from burdockdrum.passthrough.header_names import TIMED_OUT_STATUS
+from burdockdrum.passthrough.header_names import VERDICT
 from burdockdrum.passthrough.model import Lost
 from burdockdrum.passthrough.model import NotStarted
-from burdockdrum.passthrough.vocabulary import HeaderNames
-from burdockdrum.passthrough.vocabulary import HOP_HEADERS
-from burdockdrum.passthrough.vocabulary import HOP_USED_ATTEMPTS
-from burdockdrum.passthrough.vocabulary import TIMED_OUT_STATUS
-from burdockdrum.passthrough.vocabulary import VERDICT
 from burdockdrum.verdicts import Verdict
 
 MISDIRECTED_STATUS = 421
@@ -26,18 +26,18 @@
 MAX_BUFFERED_BYTES = 256 * 1024
 
 
-class AnswerCut(Exception):
+class ResponseTruncated(Exception):
     """A response was truncated after part of it had been forwarded."""
 
 
-class ResponseReader:
+class ResponseClassifier:
     """Classifies responses by a deployment's header names."""
 
     def __init__(self, *, names: HeaderNames) -> None:
         """Create a reader for a deployment's header names."""
         self._names = names
 
-    def judge(self, head: ResponseHead) -> NotStarted | Lost | None:
+    def classify(self, head: ResponseHead) -> NotStarted | Lost | None:
         """Classify a response; None if it may be forwarded.
 
         A response without the provenance header or the request's id, or with
@@ -73,29 +73,29 @@
         return without_connection_headers(head.headers, HOP_HEADERS)
 
 
-async def read_held(connection: ClientConnection) -> tuple[bytes, bool]:
+async def read_buffered(connection: ClientConnection) -> tuple[bytes, bool]:
     """Read a body to its end, or up to ``MAX_BUFFERED_BYTES``.
 
     :returns: the data read, and whether it is the whole body
     :raises ResponseLost: if the body is truncated
     """
-    parts: list[bytes] = []
+    chunks: list[bytes] = []
     size = 0
     while size <= MAX_BUFFERED_BYTES:
-        part = await connection.read_part()
-        if part is None:
-            return b"".join(parts), True
-        parts.append(part)
-        size += len(part)
-    return b"".join(parts), False
+        chunk = await connection.read_part()
+        if chunk is None:
+            return b"".join(chunks), True
+        chunks.append(chunk)
+        size += len(chunk)
+    return b"".join(chunks), False
 
 
-async def read_small(connection: ClientConnection) -> bytes:
+async def read_error_body(connection: ClientConnection) -> bytes:
     """Read the body of an error response.
 
     :raises ResponseLost: if it is truncated or too large
     """
-    body, whole = await read_held(connection)
+    body, whole = await read_buffered(connection)
     if not whole:
         raise ResponseLost("the body of an error response is too large")
     return body
@@ -111,11 +111,11 @@
     return Lost(
         reason="lost by the other region",
         timed_out=head.status == TIMED_OUT_STATUS,
-        runs=read_runs(head),
+        runs=read_used_attempts(head),
     )
 
 
-def read_runs(head: ResponseHead) -> int | None:
+def read_used_attempts(head: ResponseHead) -> int | None:
     """Return how many attempts another entry reports, None if unknown."""
     return parse_count(head.find(HOP_USED_ATTEMPTS))
 
--- a/burdockdrum/passthrough/table.py
+++ b/burdockdrum/passthrough/route_index.py
@@ -33,7 +33,7 @@
                 return route
         return None
 
-    def homes_of(self, host: str) -> frozenset[str]:
+    def home_regions_of(self, host: str) -> frozenset[str]:
         """Return the regions that any route of a host is restricted to."""
         routes = self._routes_by_host.get(host, ())
         return frozenset(home for route in routes for home in route.homes)
--- a/burdockdrum/passthrough/server.py
+++ b/burdockdrum/passthrough/server.py
@@ -56,6 +56,6 @@
         self._callers.draining = self._drain.state is not DrainState.SERVING
         self._fleet.entries = self._registrations.entries_here
         self._budget.entries = self._registrations.entries_everywhere
-        self._fleet.forget_ended()
+        self._fleet.remove_ended()
         for pool in self._pools:
             pool.prune()
--- a/burdockdrum/passthrough/services.py
+++ b/burdockdrum/passthrough/services.py
@@ -13,18 +13,18 @@
 from burdockdrum.http1 import Listener
 from burdockdrum.kernel import Kernel
 from burdockdrum.metrics import Metrics
-from burdockdrum.passthrough.attempts import Attempts
+from burdockdrum.passthrough.active_routes import ActiveRoutes
+from burdockdrum.passthrough.attempt_timeouts import AttemptTimeouts
+from burdockdrum.passthrough.attempts import AttemptRunner
 from burdockdrum.passthrough.fleet import Fleet
+from burdockdrum.passthrough.header_names import HeaderNames
 from burdockdrum.passthrough.limits import RetryBudget
-from burdockdrum.passthrough.patience import Patience
-from burdockdrum.passthrough.payloads import PayloadMaker
-from burdockdrum.passthrough.placing import Placing
-from burdockdrum.passthrough.reading import RequestReader
+from burdockdrum.passthrough.payloads import PayloadEncoder
 from burdockdrum.passthrough.relay import Relay
-from burdockdrum.passthrough.responses import ResponseReader
-from burdockdrum.passthrough.routes_in_force import RoutesInForce
+from burdockdrum.passthrough.request_reader import RequestReader
+from burdockdrum.passthrough.responses import ResponseClassifier
 from burdockdrum.passthrough.server import PassThroughServer
-from burdockdrum.passthrough.vocabulary import HeaderNames
+from burdockdrum.passthrough.target_selection import TargetSelector
 from burdockdrum.peers import VmIdentity
 from burdockdrum.ports import Clock
 from burdockdrum.quotas import QuotaMeter
@@ -48,16 +48,16 @@
     kernel.add("fleet", _build_fleet)
     kernel.add("endpoint_pool", _build_endpoint_pool)
     kernel.add("vm_pool", _build_vm_pool)
-    kernel.add("placing", _build_placing)
+    kernel.add("placing", _build_target_selector)
     kernel.add("retry_budget", _build_budget)
-    kernel.add("attempts", _build_attempts)
+    kernel.add("attempts", _build_attempt_runner)
     kernel.add("relay", _build_relay)
     kernel.add("passthrough", _build_server)
 
 
-def _build_active_routes(kernel: Kernel) -> RoutesInForce:
+def _build_active_routes(kernel: Kernel) -> ActiveRoutes:
     configuration = kernel.find("configuration", ConfigurationService)
-    return RoutesInForce(configuration=configuration)
+    return ActiveRoutes(configuration=configuration)
 
 
 def _build_fleet(kernel: Kernel) -> Fleet:
@@ -70,10 +70,10 @@
         rng=kernel.find("random", random.Random),
         read_endpoints=lambda: registrations.endpoints_by_id,
         read_load=sharing.load_of,
-        read_unheard=lambda: sharing.unheard,
-        read_lag=lambda: sharing.lag,
+        read_unreported_entries=lambda: sharing.unheard,
+        read_load_age=lambda: sharing.lag,
         drop_endpoint=registrations.drop,
-        ledger=kernel.find("holdings", HoldingsLedger),
+        prefix_cache_table=kernel.find("holdings", HoldingsLedger),
         note_shared=kernel.find(
             "holdings_sharing", HoldingsSharing
         ).note_shared,
@@ -83,8 +83,8 @@
         crossing_seconds=settings.policy.crossing_seconds_a_megabyte,
     )
     sharing.read_load = fleet.read_own_load
-    sharing.take_placed = fleet.warmth.take_placed
-    sharing.hear_placed = fleet.warmth.hear_placed
+    sharing.take_placed = fleet.prefix_cache_view.pop_notices
+    sharing.hear_placed = fleet.prefix_cache_view.record_notices
     return fleet
 
 
@@ -102,7 +102,7 @@
     return ConnectionPool(id_header=names.request_id)
 
 
-def _build_placing(kernel: Kernel) -> Placing:
+def _build_target_selector(kernel: Kernel) -> TargetSelector:
     identity = kernel.find("identity", VmIdentity)
     sharing = kernel.find("load_sharing", LoadSharing)
     configuration = kernel.find("configuration", ConfigurationService)
@@ -118,14 +118,16 @@
     def hop_address(entry: VmIdentity) -> str:
         return f"{urlsplit(entry.http_address).hostname}:{port}"
 
-    return Placing(
+    return TargetSelector(
         clock=kernel.find("clock", Clock),
         rng=kernel.find("random", random.Random),
         fleet=kernel.find("fleet", Fleet),
         region=identity.region,
-        read_rooms=lambda: sharing.rooms,
+        read_capacities=lambda: sharing.rooms,
         read_entries=read_entries,
-        read_closed=lambda: configuration.current.evacuated_data_centres,
+        read_closed_data_centres=lambda: (
+            configuration.current.evacuated_data_centres
+        ),
         hop_address=hop_address,
         mechanisms=settings.policy.mechanisms,
         crossing_seconds=settings.policy.crossing_seconds_a_megabyte,
@@ -142,35 +144,37 @@
     )
 
 
-def _build_attempts(kernel: Kernel) -> Attempts:
+def _build_attempt_runner(kernel: Kernel) -> AttemptRunner:
     names = kernel.find("header_names", HeaderNames)
-    attempts = Attempts(
+    runner = AttemptRunner(
         clock=kernel.find("clock", Clock),
         fleet=kernel.find("fleet", Fleet),
         endpoint_pool=kernel.find("endpoint_pool", ConnectionPool),
         vm_pool=kernel.find("vm_pool", ConnectionPool),
-        payloads=PayloadMaker(
+        payloads=PayloadEncoder(
             names=names,
             region=kernel.find("identity", VmIdentity).region,
         ),
-        responses=ResponseReader(names=names),
-        patience=Patience(
+        responses=ResponseClassifier(names=names),
+        timeouts=AttemptTimeouts(
             fleet=kernel.find("fleet", Fleet),
             budget=kernel.find("retry_budget", RetryBudget),
-            has_other=kernel.find("placing", Placing).has_other,
+            has_alternative=kernel.find(
+                "placing", TargetSelector
+            ).has_alternative,
             mechanisms=kernel.find("settings", Settings).policy.mechanisms,
         ),
     )
     registrations = kernel.find("registrations", RegistrationFollower)
-    registrations.restart_listeners.append(attempts.end_start)
-    return attempts
+    registrations.restart_listeners.append(runner.abort_incarnation)
+    return runner
 
 
 def _build_relay(kernel: Kernel) -> Relay:
     clock = kernel.find("clock", Clock)
     names = kernel.find("header_names", HeaderNames)
     configuration = kernel.find("configuration", ConfigurationService)
-    routes = kernel.find("routes_in_force", RoutesInForce)
+    routes = kernel.find("routes_in_force", ActiveRoutes)
     return Relay(
         clock=clock,
         names=names,
@@ -182,9 +186,9 @@
             callers=kernel.find("callers", CallerFinder),
             meter=kernel.find("quota_meter", QuotaMeter),
         ),
-        placing=kernel.find("placing", Placing),
-        attempts=kernel.find("attempts", Attempts),
-        responses=ResponseReader(names=names),
+        selector=kernel.find("placing", TargetSelector),
+        runner=kernel.find("attempts", AttemptRunner),
+        responses=ResponseClassifier(names=names),
         budget=kernel.find("retry_budget", RetryBudget),
         drain=kernel.find("drain", Drain),
         configuration=configuration,
@@ -197,7 +201,7 @@
 def _build_server(kernel: Kernel) -> PassThroughServer:
     settings = kernel.find("settings", Settings).passthrough
     relay = kernel.find("relay", Relay)
-    routes = kernel.find("routes_in_force", RoutesInForce)
+    routes = kernel.find("routes_in_force", ActiveRoutes)
     return PassThroughServer(
         clock=kernel.find("clock", Clock),
         callers=Listener(
--- a/burdockdrum/passthrough/placing.py
+++ b/burdockdrum/passthrough/target_selection.py
@@ -9,15 +9,15 @@
 from dataclasses import replace
 import random
 
+from burdockdrum.passthrough.endpoint_state import RatedEndpoint
 from burdockdrum.passthrough.fleet import Fleet
-from burdockdrum.passthrough.model import EndpointPlace
-from burdockdrum.passthrough.model import PassedRequest
-from burdockdrum.passthrough.model import Place
-from burdockdrum.passthrough.model import Progress
-from burdockdrum.passthrough.model import RegionPlace
-from burdockdrum.passthrough.regions import RegionRater
-from burdockdrum.passthrough.tracks import Choice
-from burdockdrum.passthrough.waiting import Wait
+from burdockdrum.passthrough.model import EndpointTarget
+from burdockdrum.passthrough.model import ProxiedRequest
+from burdockdrum.passthrough.model import RegionTarget
+from burdockdrum.passthrough.model import RequestProgress
+from burdockdrum.passthrough.model import Target
+from burdockdrum.passthrough.region_rating import RegionRater
+from burdockdrum.passthrough.wait_estimates import ExpectedWait
 from burdockdrum.peers import VmIdentity
 from burdockdrum.ports import Clock
 from burdockdrum.registrations import ServiceRoom
@@ -45,7 +45,7 @@
 MAX_RETRY_AFTER_SECONDS = 3.0
 
 
-class Placing:
+class TargetSelector:
     """Selects among local endpoints and entry VMs of other regions."""
 
     def __init__(
@@ -55,18 +55,19 @@
         rng: random.Random,
         fleet: Fleet,
         region: str,
-        read_rooms: Callable[[], list[ServiceRoom]],
+        read_capacities: Callable[[], list[ServiceRoom]],
         read_entries: Callable[[], Iterable[VmIdentity]],
-        read_closed: Callable[[], frozenset[str]],
+        read_closed_data_centres: Callable[[], frozenset[str]],
         hop_address: Callable[[VmIdentity], str],
         mechanisms: MechanismSettings | None = None,
         crossing_seconds: float = 0.0,
     ) -> None:
         """Create it for a region.
 
-        :param read_rooms: returns the load and capacity of each region
+        :param read_capacities: returns the load and capacity of each region
         :param read_entries: returns the live entry VMs of other regions
-        :param read_closed: returns the data centres that get no new requests
+        :param read_closed_data_centres: returns the data centres that get no
+            new requests
         :param hop_address: returns where an entry VM accepts forwarded
             requests
         :param mechanisms: the enabled parts of the policy; default all
@@ -82,15 +83,17 @@
             clock=clock,
             fleet=fleet,
             region=region,
-            read_rooms=read_rooms,
+            read_capacities=read_capacities,
             mechanisms=self._mechanisms,
             crossing_seconds=crossing_seconds,
         )
         self._read_entries = read_entries
-        self._read_closed = read_closed
+        self._read_closed_data_centres = read_closed_data_centres
         self._hop_address = hop_address
 
-    def place(self, request: PassedRequest, progress: Progress) -> Place:
+    def select(
+        self, request: ProxiedRequest, progress: RequestProgress
+    ) -> Target:
         """Select the target of the next attempt.
 
         :raises Refusal: with the verdict so far, if no target accepts it
@@ -111,28 +114,31 @@
         if queue > allowed:
             reason = f"queue of {queue:.2f} s exceeds {allowed:.2f} s"
             raise self._refuse(request, progress, reason, queue - allowed)
-        return EndpointPlace(choice=local)
+        return EndpointTarget(choice=local)
 
-    def has_other(
-        self, request: PassedRequest, progress: Progress, place: Place
+    def has_alternative(
+        self,
+        request: ProxiedRequest,
+        progress: RequestProgress,
+        target: Target,
     ) -> bool:
         """Return whether another target would accept the request now."""
         tried, regions = set(progress.tried), set(progress.tried_regions)
-        match place:
-            case EndpointPlace(choice=choice):
+        match target:
+            case EndpointTarget(choice=choice):
                 tried.add(choice.endpoint.endpoint_id)
-            case RegionPlace(vm_id=vm_id, region=region):
+            case RegionTarget(vm_id=vm_id, region=region):
                 tried.add(vm_id)
                 regions.add(region)
         next_progress = replace(progress, tried=tried, tried_regions=regions)
         try:
-            self.place(request, next_progress)
+            self.select(request, next_progress)
         except Refusal:
             return False
         return True
 
     def _max_queue_seconds(
-        self, request: PassedRequest, remaining: float, wait: Wait
+        self, request: ProxiedRequest, remaining: float, wait: ExpectedWait
     ) -> float:
         """Return how many seconds a request may queue.
 
@@ -146,7 +152,7 @@
             return remaining
         passed = self._clock.monotonic() - request.received_at
         seconds_to_objective = request.route.objective_seconds - passed
-        rest = seconds_to_objective - wait.own - wait.expected_error
+        rest = seconds_to_objective - wait.service_time - wait.expected_error
         return min(
             remaining,
             max(
@@ -157,8 +163,8 @@
         )
 
     def _choose_local(
-        self, request: PassedRequest, progress: Progress
-    ) -> Choice | None:
+        self, request: ProxiedRequest, progress: RequestProgress
+    ) -> RatedEndpoint | None:
         homes = request.route.homes
         if homes and self._region not in homes:
             return None
@@ -168,17 +174,17 @@
             prompt=request.prompt,
             seconds_left=request.deadline - self._clock.monotonic(),
             tried=frozenset(progress.tried),
-            closed_data_centres=self._read_closed(),
+            closed_data_centres=self._read_closed_data_centres(),
             body_bytes=len(request.head.body),
         )
 
     def _choose_region(
         self,
-        request: PassedRequest,
-        progress: Progress,
-        local: Choice | None,
-    ) -> RegionPlace | None:
-        if request.came_from is not None:
+        request: ProxiedRequest,
+        progress: RequestProgress,
+        local: RatedEndpoint | None,
+    ) -> RegionTarget | None:
+        if request.forwarded_from is not None:
             # Forwarding loop: two regions that each see free capacity in the
             # other would send a request back and forth.
             return None
@@ -205,7 +211,7 @@
                 continue
             entry = self._choose_entry(region, progress)
             if entry is not None:
-                return RegionPlace(
+                return RegionTarget(
                     region=region,
                     address=self._hop_address(entry),
                     vm_id=entry.vm_id,
@@ -214,7 +220,7 @@
         return None
 
     def _choose_entry(
-        self, region: str, progress: Progress
+        self, region: str, progress: RequestProgress
     ) -> VmIdentity | None:
         entries = [
             entry
@@ -225,8 +231,8 @@
 
     def _refuse(
         self,
-        request: PassedRequest,
-        progress: Progress,
+        request: ProxiedRequest,
+        progress: RequestProgress,
         reason: str,
         wait: float,
     ) -> Refusal:
--- a/burdockdrum/passthrough/waiting.py
+++ b/burdockdrum/passthrough/wait_estimates.py
@@ -21,17 +21,17 @@
 
 
 def decode_risk_seconds(
-    prompt: Prompt, step_seconds: float, seconds_left: float
+    prompt: Prompt, decode_step_seconds: float, seconds_left: float
 ) -> float:
     """Return the penalty for an output that may miss its deadline.
 
     Decoding is several times slower on an engine that is busy with prefill:
     long outputs can be late although their first token came in time.
 
-    :param step_seconds: time of a decode step at the endpoint
+    :param decode_step_seconds: time of a decode step at the endpoint
     :param seconds_left: until the caller's deadline
     """
-    decode_seconds = prompt.expected_output * step_seconds
+    decode_seconds = prompt.expected_output_tokens * decode_step_seconds
     safe = seconds_left * SAFE_DECODE_FRACTION
     return max(0.0, decode_seconds - safe) * DECODE_RISK_WEIGHT
 
@@ -51,23 +51,26 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Wait:
+class ExpectedWait:
     """The components of an expected wait, in seconds.
 
-    ``queue`` is the time behind earlier requests, ``own`` the prefill of the
-    request itself. ``expected_error`` is by how much such estimates were too
-    low. ``penalty`` is no waiting time, but only ranks the endpoint lower.
+    ``queue`` is the time behind earlier requests, ``service_time`` the prefill
+    of the request itself. ``expected_error`` is by how much such estimates
+    were too low. ``penalty`` is no waiting time, but only ranks the endpoint
+    lower.
     """
 
     queue: float
-    own: float
+    service_time: float
     penalty: float = 0.0
     expected_error: float = 0.0
 
     @property
     def total(self) -> float:
         """Return the sum, by which endpoints are compared."""
-        return self.queue + self.own + self.expected_error + self.penalty
+        return (
+            self.queue + self.service_time + self.expected_error + self.penalty
+        )
 
 
 def estimate_queue(
@@ -76,7 +79,7 @@
     rank: int,
     slots: int,
     run_seconds: float,
-    token_seconds: float,
+    prefill_token_seconds: float,
     counts_arrivals: bool = True,
 ) -> float:
     """Return how many seconds a request of a rank queues at an endpoint.
@@ -89,7 +92,7 @@
     :param rank: priority; lower is more urgent
     :param slots: how many requests the endpoint runs at once
     :param run_seconds: how long a request holds a slot on average
-    :param token_seconds: prefill time of a token
+    :param prefill_token_seconds: prefill time of a token
     :param counts_arrivals: whether to expect further more urgent requests
     """
     ahead, behind = load.up_to(rank), load.above(rank)
@@ -98,9 +101,12 @@
         unread += behind.unread_tokens / max(1.0, behind.waiting)
     capacity = 1.0
     if counts_arrivals:
-        arriving = load.up_to(rank - 1).recent_tokens * token_seconds
+        arriving = load.up_to(rank - 1).recent_tokens * prefill_token_seconds
         capacity = max(
             MIN_CAPACITY_FRACTION, 1 - arriving / RECENT_WINDOW_SECONDS
         )
     excess = max(0.0, ahead.requests + 1 - slots)
-    return unread * token_seconds / capacity + excess * run_seconds / slots
+    return (
+        unread * prefill_token_seconds / capacity
+        + excess * run_seconds / slots
+    )
--- a/scripts/bench/choosing.py
+++ b/scripts/bench/choosing.py
@@ -18,10 +18,10 @@
 
 from docopt import docopt
 
+from burdockdrum.passthrough.endpoint_state import InFlightRequest
 from burdockdrum.passthrough.fleet import Fleet
 from burdockdrum.passthrough.prompts import Prompt
 from burdockdrum.passthrough.prompts import PromptPart
-from burdockdrum.passthrough.tracks import Placement
 from burdockdrum.registrations.load_sums import LoadSums
 from burdockdrum.registrations.loads import RankLoad
 from burdockdrum.registrations.messages import RegistrationState
@@ -102,7 +102,9 @@
         shared = PromptPart(part_id=f"head{rng.randrange(50)}", tokens=60)
         own = PromptPart(part_id="own", tokens=320)
     return Prompt(
-        tokens=shared.tokens + own.tokens, max_output=60, parts=(shared, own)
+        tokens=shared.tokens + own.tokens,
+        max_output_tokens=60,
+        parts=(shared, own),
     )
 
 
@@ -111,7 +113,7 @@
     rng = random.Random(1)
     fleet = make_fleet(count, rng)
     prompts = [make_prompt(rng) for _ in range(requests)]
-    under_way: list[Placement] = []
+    under_way: list[InFlightRequest] = []
     began = time.process_time()
     for prompt in prompts:
         choice = fleet.choose(
@@ -124,10 +126,12 @@
             body_bytes=prompt.tokens,
         )
         assert choice is not None
-        under_way.append(fleet.begin(choice, BACKEND, prompt, ROUTE.rank))
-        fleet.note_output(under_way[-1])
+        under_way.append(
+            fleet.record_sent(choice, BACKEND, prompt, ROUTE.rank)
+        )
+        fleet.record_output(under_way[-1])
         if len(under_way) > UNDER_WAY:
-            fleet.end(under_way.pop(0), BACKEND, whole=True)
+            fleet.record_end(under_way.pop(0), BACKEND, whole=True)
     return (time.process_time() - began) / requests
 
 
--- a/scripts/experiment/passed/callers.py
+++ b/scripts/experiment/passed/callers.py
@@ -1,7 +1,7 @@
 """Callers, and the way of a request through one or two entries.
 
-The relay is mirrored as far as a choice depends on it: place, attempt,
-another place while the work may be repeated. Bodies and sockets are left out.
+The relay is mirrored as far as a choice depends on it: target, attempt,
+another target while the work may be repeated. Bodies and sockets are left out.
 """
 
 from collections.abc import Callable
@@ -10,11 +10,11 @@
 import random
 
 from burdockdrum.http1 import RequestHead
-from burdockdrum.passthrough.model import EndpointPlace
-from burdockdrum.passthrough.model import PassedRequest
-from burdockdrum.passthrough.model import Progress
-from burdockdrum.passthrough.model import RegionPlace
-from burdockdrum.passthrough.tracks import Placement
+from burdockdrum.passthrough.endpoint_state import InFlightRequest
+from burdockdrum.passthrough.model import EndpointTarget
+from burdockdrum.passthrough.model import ProxiedRequest
+from burdockdrum.passthrough.model import RegionTarget
+from burdockdrum.passthrough.model import RequestProgress
 from burdockdrum.resources import Route
 from burdockdrum.resources import WeightedService
 from burdockdrum.verdicts import Refusal
@@ -124,10 +124,10 @@
             refuse=self._take_refusal,
         ).serve()
 
-    def _make_request(self, came_from: str | None) -> PassedRequest:
+    def _make_request(self, forwarded_from: str | None) -> ProxiedRequest:
         arrival = self.outcome.arrival
         now = self.world.schedule.now
-        return PassedRequest(
+        return ProxiedRequest(
             request_id="",
             head=RequestHead(
                 method=b"POST",
@@ -143,10 +143,10 @@
             received_at=now,
             deadline=self.deadline,
             attempts=MAX_ATTEMPTS,
-            came_from=came_from,
+            forwarded_from=forwarded_from,
         )
 
-    def pass_on(self, request: PassedRequest, entry: Entry) -> PassedRequest:
+    def pass_on(self, request: ProxiedRequest, entry: Entry) -> ProxiedRequest:
         """Return the request as the entry of another region gets it."""
         return self._make_request(entry.identity.region)
 
@@ -190,43 +190,43 @@
 
     call: Call
     entry: Entry
-    request: PassedRequest
+    request: ProxiedRequest
     refuse: Callable[[Refusal], None]
-    progress: Progress = field(default_factory=Progress)
+    progress: RequestProgress = field(default_factory=RequestProgress)
 
     def serve(self) -> None:
-        """Choose a place and try it."""
+        """Select a target and send an attempt to it."""
         if self.call.is_over or not self.entry.is_up:
             return
         try:
-            place = self.entry.placing.place(self.request, self.progress)
+            target = self.entry.placing.select(self.request, self.progress)
         except Refusal as refusal:
             self.refuse(refusal)
             return
-        match place:
-            case EndpointPlace():
-                self._attempt(place)
-            case RegionPlace():
-                self._pass_on(place)
+        match target:
+            case EndpointTarget():
+                self._attempt(target)
+            case RegionTarget():
+                self._pass_on(target)
 
-    def _attempt(self, place: EndpointPlace) -> None:
+    def _attempt(self, target: EndpointTarget) -> None:
         world, fleet = self.call.world, self.entry.fleet
-        choice = place.choice
+        choice = target.choice
         rank = self.request.route.rank
-        placement = fleet.begin(
+        in_flight_request = fleet.record_sent(
             choice, self.request.backend, self.request.prompt, rank
         )
         outcome = self.call.outcome
         if outcome.expected_first is None:
             since = world.schedule.now - self.call.sent_at
-            expected = choice.wait.queue + choice.wait.own
+            expected = choice.wait.queue + choice.wait.service_time
             outcome.expected_first = since + expected
         fetch = choice.fetch
         holder = world.engines_by_id.get(fetch.address) if fetch else None
         outcome.runs += 1
 
         def on_part() -> None:
-            fleet.note_output(placement)
+            fleet.record_output(in_flight_request)
             self.call.note_part()
 
         job = Job(
@@ -235,44 +235,44 @@
             output_tokens=outcome.arrival.output_tokens,
             fetch_from=holder,
             fetch_delay=FAR_FETCH_SECONDS * world.times
-            if fetch and fetch.is_far
+            if fetch and fetch.is_cross_region
             else 0.0,
             on_part=on_part,
-            on_end=lambda whole: self._end(placement, whole),
+            on_end=lambda whole: self._end(in_flight_request, whole),
         )
         self.call.jobs.append(job)
         world.engines_by_id[choice.endpoint.endpoint_id].submit(job)
 
-    def _end(self, placement: Placement, whole: bool) -> None:
+    def _end(self, in_flight_request: InFlightRequest, whole: bool) -> None:
         fleet = self.entry.fleet
-        fleet.end(placement, self.request.backend, whole=whole)
-        health = fleet.health_of(placement.endpoint)
+        fleet.record_end(in_flight_request, self.request.backend, whole=whole)
+        health = fleet.health_of(in_flight_request.endpoint)
         if whole:
-            health.note_success()
+            health.record_success()
             self.call.finish()
             return
         now = self.call.world.schedule.now
-        health.note_unreachable(now)
-        self.progress.tried.add(placement.endpoint.endpoint_id)
+        health.record_unreachable(now)
+        self.progress.tried.add(in_flight_request.endpoint.endpoint_id)
         self.progress.runs += 1
         if self.progress.runs < self.request.attempts:
             self.call.world.schedule.after(0.0, self.serve)
 
-    def _pass_on(self, place: RegionPlace) -> None:
+    def _pass_on(self, target: RegionTarget) -> None:
         world = self.call.world
-        other = world.entries_by_address[place.address]
+        other = world.entries_by_address[target.address]
         self.call.outcome.away = True
         world.schedule.after(
-            FAR_SECONDS * world.times, lambda: self._arrive(place, other)
+            FAR_SECONDS * world.times, lambda: self._arrive(target, other)
         )
 
-    def _arrive(self, place: RegionPlace, other: Entry) -> None:
+    def _arrive(self, target: RegionTarget, other: Entry) -> None:
         world = self.call.world
 
         def refuse(refusal: Refusal) -> None:
             # The answer takes the same way back.
-            self.progress.tried.add(place.vm_id)
-            self.progress.tried_regions.add(place.region)
+            self.progress.tried.add(target.vm_id)
+            self.progress.tried_regions.add(target.region)
             world.schedule.after(FAR_SECONDS * world.times, self.serve)
 
         Exchange(
--- a/scripts/experiment/passed/loads.py
+++ b/scripts/experiment/passed/loads.py
@@ -159,8 +159,8 @@
         kind=kind,
         prompt=Prompt(
             tokens=shared + own,
-            max_output=output * 2,
-            hinted_output=output,
+            max_output_tokens=output * 2,
+            hinted_output_tokens=output,
             parts=parts,
         ),
         output_tokens=output,
--- a/scripts/experiment/passed/variants.py
+++ b/scripts/experiment/passed/variants.py
@@ -4,15 +4,15 @@
 from dataclasses import dataclass
 import random
 
+from burdockdrum.passthrough.endpoint_state import RatedEndpoint
 from burdockdrum.passthrough.fleet import Fleet
-from burdockdrum.passthrough.model import EndpointPlace
-from burdockdrum.passthrough.model import PassedRequest
-from burdockdrum.passthrough.model import Place
-from burdockdrum.passthrough.model import Progress
-from burdockdrum.passthrough.placing import Placing
-from burdockdrum.passthrough.tracks import Choice
-from burdockdrum.passthrough.waiting import Wait
-from burdockdrum.passthrough.warmth import home_of
+from burdockdrum.passthrough.model import EndpointTarget
+from burdockdrum.passthrough.model import ProxiedRequest
+from burdockdrum.passthrough.model import RequestProgress
+from burdockdrum.passthrough.model import Target
+from burdockdrum.passthrough.prefix_cache_view import choose_prefix_endpoint
+from burdockdrum.passthrough.target_selection import TargetSelector
+from burdockdrum.passthrough.wait_estimates import ExpectedWait
 from burdockdrum.registrations import Load
 from burdockdrum.registrations import RegisteredEndpoint
 from burdockdrum.settings import MechanismSettings
@@ -33,15 +33,15 @@
     rng: random.Random
 
 
-Pick = Callable[[View, PassedRequest], RegisteredEndpoint]
+Pick = Callable[[View, ProxiedRequest], RegisteredEndpoint]
 
 
-def pick_random(view: View, request: PassedRequest) -> RegisteredEndpoint:
+def pick_random(view: View, request: ProxiedRequest) -> RegisteredEndpoint:
     """Choose any endpoint."""
     return view.rng.choice(view.endpoints)
 
 
-def pick_fewest(view: View, request: PassedRequest) -> RegisteredEndpoint:
+def pick_fewest(view: View, request: ProxiedRequest) -> RegisteredEndpoint:
     """Choose one with the fewest requests, as far as is known."""
     return min(
         view.endpoints,
@@ -52,10 +52,10 @@
     )
 
 
-def pick_by_hash(view: View, request: PassedRequest) -> RegisteredEndpoint:
-    """Choose the one that the shared beginning belongs to."""
+def pick_by_hash(view: View, request: ProxiedRequest) -> RegisteredEndpoint:
+    """Choose the one that the shared prefix is hashed to."""
     by_id = {e.endpoint_id: e for e in view.endpoints}
-    home = home_of(request.prompt, list(by_id))
+    home = choose_prefix_endpoint(request.prompt, list(by_id))
     return by_id[home] if home else pick_random(view, request)
 
 
@@ -94,7 +94,9 @@
         self._read_endpoints = read_endpoints
         self._read_load = read_load
 
-    def place(self, request: PassedRequest, progress: Progress) -> Place:
+    def select(
+        self, request: ProxiedRequest, progress: RequestProgress
+    ) -> Target:
         """Choose an endpoint.
 
         :raises Refusal: if there is none
@@ -113,16 +115,16 @@
             )
         view = View(endpoints=endpoints, load_of=self._load_of, rng=self._rng)
         endpoint = self._pick(view, request)
-        held = self._fleet.warmth.held_tokens(
+        held = self._fleet.prefix_cache_view.cached_tokens(
             endpoint.endpoint_id, request.prompt
         )
         unread = request.prompt.tokens - held
-        return EndpointPlace(
-            choice=Choice(
+        return EndpointTarget(
+            choice=RatedEndpoint(
                 endpoint=endpoint,
-                wait=Wait(queue=0.0, own=0.0),
+                wait=ExpectedWait(queue=0.0, service_time=0.0),
                 unread_tokens=unread,
-                reading_tokens=float(unread),
+                prefill_cost_tokens=float(unread),
             )
         )
 
@@ -134,4 +136,4 @@
         return load
 
 
-Placer = Placing | BaselinePlacing
+Placer = TargetSelector | BaselinePlacing
--- a/scripts/experiment/passed/world.py
+++ b/scripts/experiment/passed/world.py
@@ -9,7 +9,7 @@
 from burdockdrum.holdings import HeldChange
 from burdockdrum.holdings import HoldingsLedger
 from burdockdrum.passthrough.fleet import Fleet
-from burdockdrum.passthrough.placing import Placing
+from burdockdrum.passthrough.target_selection import TargetSelector
 from burdockdrum.peers import VmIdentity
 from burdockdrum.registrations import Load
 from burdockdrum.registrations import PlacedParts
@@ -184,8 +184,8 @@
             rng=entry.rng,
             read_endpoints=lambda: endpoints,
             read_load=entry.load_of,
-            read_lag=lambda: TELL_SECONDS * self.times,
-            ledger=entry.ledger,
+            read_load_age=lambda: TELL_SECONDS * self.times,
+            prefix_cache_table=entry.ledger,
             read_region=lambda name: name,
             mechanisms=self._variant.mechanisms,
         )
@@ -198,16 +198,16 @@
                 read_load=entry.load_of,
             )
             return
-        entry.placing = Placing(
+        entry.placing = TargetSelector(
             clock=self.schedule,
             rng=entry.rng,
             fleet=entry.fleet,
             region=region,
-            read_rooms=lambda: entry.rooms,
+            read_capacities=lambda: entry.rooms,
             read_entries=lambda: [
                 other.identity for other in self.entries if other.is_up
             ],
-            read_closed=frozenset,
+            read_closed_data_centres=frozenset,
             hop_address=lambda identity: identity.http_address,
             mechanisms=self._variant.mechanisms,
         )
@@ -223,7 +223,7 @@
         if not entry.is_up:
             return
         load = entry.fleet.read_own_load()
-        placed = entry.fleet.warmth.take_placed()
+        placed = entry.fleet.prefix_cache_view.pop_notices()
         for other in self.live_entries(entry.identity.region):
             if other is not entry:
                 hear = functools.partial(
@@ -239,7 +239,7 @@
         placed: list[PlacedParts],
     ) -> None:
         other.loads_by_vm[entry.identity.vm_id] = load
-        other.fleet.warmth.hear_placed(placed)
+        other.fleet.prefix_cache_view.record_notices(placed)
 
     def _tell_rooms(self) -> None:
         rooms = [self._sum_room(region) for region in REGIONS]
--- a/tests/passthrough/entries.py
+++ b/tests/passthrough/entries.py
@@ -11,17 +11,17 @@
 from burdockdrum.http1 import ConnectionPool
 from burdockdrum.http1 import Listener
 from burdockdrum.metrics import Metrics
-from burdockdrum.passthrough.attempts import Attempts
+from burdockdrum.passthrough.attempt_timeouts import AttemptTimeouts
+from burdockdrum.passthrough.attempts import AttemptRunner
 from burdockdrum.passthrough.fleet import Fleet
+from burdockdrum.passthrough.header_names import HeaderNames
 from burdockdrum.passthrough.limits import RetryBudget
-from burdockdrum.passthrough.patience import Patience
-from burdockdrum.passthrough.payloads import PayloadMaker
-from burdockdrum.passthrough.placing import Placing
-from burdockdrum.passthrough.reading import RequestReader
+from burdockdrum.passthrough.payloads import PayloadEncoder
 from burdockdrum.passthrough.relay import Relay
-from burdockdrum.passthrough.responses import ResponseReader
-from burdockdrum.passthrough.table import RouteIndex
-from burdockdrum.passthrough.vocabulary import HeaderNames
+from burdockdrum.passthrough.request_reader import RequestReader
+from burdockdrum.passthrough.responses import ResponseClassifier
+from burdockdrum.passthrough.route_index import RouteIndex
+from burdockdrum.passthrough.target_selection import TargetSelector
 from burdockdrum.peers import VmIdentity
 from burdockdrum.registrations import Load
 from burdockdrum.registrations import ServiceRoom
@@ -179,29 +179,31 @@
             drop_endpoint=registered.pop,
         )
         pools = [ConnectionPool(id_header=NAMES.request_id) for _ in "ab"]
-        responses = ResponseReader(names=NAMES)
+        responses = ResponseClassifier(names=NAMES)
         finder = make_finder(self.configuration)
         meter = make_meter(clock, finder)
         budget = RetryBudget(clock=clock, ratio=1, burst=50, window=10)
-        placing = Placing(
+        selector = TargetSelector(
             clock=clock,
             rng=rng,
             fleet=fleet,
             region=region,
-            read_rooms=lambda: capacities,
+            read_capacities=lambda: capacities,
             read_entries=lambda: [e.identity for e in self.others(region)],
-            read_closed=frozenset,
+            read_closed_data_centres=frozenset,
             hop_address=lambda vm: self.entries[vm.region].vms.address,
         )
-        attempts = Attempts(
+        runner = AttemptRunner(
             clock=clock,
             fleet=fleet,
             endpoint_pool=pools[0],
             vm_pool=pools[1],
-            payloads=PayloadMaker(names=NAMES, region=region),
+            payloads=PayloadEncoder(names=NAMES, region=region),
             responses=responses,
-            patience=Patience(
-                fleet=fleet, budget=budget, has_other=placing.has_other
+            timeouts=AttemptTimeouts(
+                fleet=fleet,
+                budget=budget,
+                has_alternative=selector.has_alternative,
             ),
         )
         metrics = Metrics()
@@ -218,8 +220,8 @@
                 callers=finder,
                 meter=meter,
             ),
-            placing=placing,
-            attempts=attempts,
+            selector=selector,
+            runner=runner,
             responses=responses,
             budget=budget,
             drain=InactiveDrain(),
@@ -227,7 +229,7 @@
             metrics=metrics,
             meter=meter,
         )
-        entry = Entry(region, relay, attempts, fleet, capacities)
+        entry = Entry(region, relay, runner, fleet, capacities)
         entry.metrics = metrics
         entry.meter = meter
         await entry.callers.open()
--- a/tests/passthrough/fakes.py
+++ b/tests/passthrough/fakes.py
@@ -65,7 +65,7 @@
     parts = [PromptPart(part_id=n, tokens=t) for n, t in shared]
     own = tokens - sum(part.tokens for part in parts)
     parts.append(PromptPart(part_id=f"own-{tokens}", tokens=own))
-    return Prompt(tokens=tokens, max_output=100, parts=tuple(parts))
+    return Prompt(tokens=tokens, max_output_tokens=100, parts=tuple(parts))
 
 
 def make_route(**fields):
@@ -93,15 +93,15 @@
         self.others = {}
         self.unheard = 0
         self.lag = 0.0
-        self.ledger = HoldingsLedger()
+        self.prefix_cache_table = HoldingsLedger()
         self.fleet = Fleet(
             clock=self.clock,
             rng=random.Random(seed),
             read_endpoints=lambda: self.endpoints,
             read_load=lambda name: self.others.get(name, Load()),
-            read_unheard=lambda: self.unheard,
-            read_lag=lambda: self.lag,
-            ledger=self.ledger,
+            read_unreported_entries=lambda: self.unheard,
+            read_load_age=lambda: self.lag,
+            prefix_cache_table=self.prefix_cache_table,
             read_region={
                 "dc": "here",
                 "beside": "here",
@@ -136,4 +136,4 @@
     def send(self, prompt, *, rank=0, backend=MODEL):
         """Choose an endpoint and record the request there."""
         choice = self.choose(prompt, rank=rank, backend=backend)
-        return self.fleet.begin(choice, backend, prompt, rank)
+        return self.fleet.record_sent(choice, backend, prompt, rank)
--- a/tests/passthrough/test_patience.py
+++ b/tests/passthrough/test_attempt_timeouts.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from burdockdrum.passthrough.patience import AttemptWatchdog
+from burdockdrum.passthrough.attempt_timeouts import AttemptWatchdog
 from burdockdrum.testing import run_virtual
 
 
@@ -18,7 +18,7 @@
         self.loop = asyncio.get_running_loop()
         self.began = self.loop.time()
         self.watchdog = AttemptWatchdog(
-            first_part_timeout_seconds=0.4,
+            first_chunk_timeout_seconds=0.4,
             idle_timeout_seconds=1.5,
             may_retry=self.may_retry,
             abort=self.abort,
--- a/tests/passthrough/test_engines.py
+++ b/tests/passthrough/test_engines.py
@@ -3,10 +3,10 @@
 import random
 import unittest
 
+from burdockdrum.passthrough.endpoint_state import MIN_UNREAD_FRACTION
 from burdockdrum.passthrough.engines import count_attention_pairs
-from burdockdrum.passthrough.engines import Engines
+from burdockdrum.passthrough.engines import EngineEstimates
 from burdockdrum.passthrough.prompts import Prompt
-from burdockdrum.passthrough.tracks import MIN_UNREAD_FRACTION
 from tests.passthrough.fakes import FleetWorld
 from tests.passthrough.fakes import make_prompt
 from tests.passthrough.fakes import MODEL
@@ -43,8 +43,8 @@
 
 def first_part_seconds(engines, tokens):
     """Return the estimated time to first token of an uncached prompt."""
-    reading = engines.reading_seconds("s", Prompt(tokens=tokens), tokens)
-    return engines.first_seconds("s") + reading
+    reading = engines.prefill_seconds("s", Prompt(tokens=tokens), tokens)
+    return engines.first_token_seconds("s") + reading
 
 
 class ReadingTest(unittest.TestCase):
@@ -55,7 +55,7 @@
     """
 
     def check(self, engine, number, tolerance):
-        engines = Engines()
+        engines = EngineEstimates()
         engine.simulate(engines, number)
         for tokens in (200, 3700, 17_000):
             expected = engine.seconds(tokens)
@@ -76,7 +76,7 @@
     def test_few_long_prompts_suffice_for_an_estimate(self):
         # Guards against the many short prompts outweighing the few long ones.
         engine = Engine(first=0.022, token=2.2e-5, pair=1.2e-10)
-        engines = Engines()
+        engines = EngineEstimates()
         engine.simulate(engines, 3000, late_fraction=0.0)
         for tokens in (30_000, 50_000):
             ratio = first_part_seconds(engines, tokens) / engine.seconds(
@@ -87,7 +87,7 @@
     def test_estimates_follow_a_change_of_speed(self):
         # Guards against estimates that stay outdated after a release has
         # doubled the speed of all engines.
-        engines = Engines()
+        engines = EngineEstimates()
         Engine(first=0.03, token=3e-5, pair=0.0).simulate(engines, 800)
         before = first_part_seconds(engines, 4000)
         faster = Engine(first=0.015, token=1.5e-5, pair=0.0, seed=2)
@@ -98,7 +98,7 @@
         # Guards against one degraded endpoint distorting the service's curve.
         engine = Engine(first=0.022, token=2.2e-5, pair=0.0)
         slow_endpoint = Engine(first=0.176, token=1.76e-4, pair=0.0, seed=2)
-        engines = Engines()
+        engines = EngineEstimates()
         engine.simulate(engines, 400)
         for _ in range(60):
             slow_endpoint.simulate(engines, 1, names=("d",), late_fraction=0.0)
@@ -111,21 +111,21 @@
     def test_token_and_step_times_stay_positive(self):
         # Guards against a division by zero: with such samples the best fit
         # has a coefficient of zero for tokens.
-        engines = Engines()
+        engines = EngineEstimates()
         rng = random.Random(1)
         for _ in range(2000):
             tokens = rng.randrange(1, 60_000)
             seconds = 0.02 + tokens**2 * 1e-9
             prompt = Prompt(tokens=tokens)
             engines.record_first_token("s", "a", prompt, tokens, seconds)
-            self.assertGreater(engines.token_seconds("s"), 0)
+            self.assertGreater(engines.prefill_token_seconds("s"), 0)
             engines.record_decode("s", 0.001 + rng.random() ** 4, 0.9)
-            self.assertGreater(engines.step_seconds("s", 0.0), 0)
+            self.assertGreater(engines.decode_step_seconds("s", 0.0), 0)
 
     def test_estimates_scale_with_observed_times(self):
         pair = []
         for scale in (1, 2):
-            engines = Engines()
+            engines = EngineEstimates()
             Engine(
                 first=0.022 * scale, token=2.2e-5 * scale, pair=0.0
             ).simulate(engines, 3000, late_fraction=0.0)
@@ -144,23 +144,23 @@
     """Decode steps, with and without concurrent prefill."""
 
     def test_decode_steps_are_learned_by_prefill_share(self):
-        engines = Engines()
+        engines = EngineEstimates()
         rng = random.Random(1)
         for _ in range(600):
             busy = rng.random()
             seconds = (0.006 + 0.02 * busy) * rng.lognormvariate(0, 0.2)
             engines.record_decode("s", seconds, busy)
         for busy in (0.1, 0.5, 0.9):
-            step = engines.step_seconds("s", busy)
+            step = engines.decode_step_seconds("s", busy)
             self.assertAlmostEqual(0.006 + 0.02 * busy, step, delta=0.003)
 
 
 class LearningTest(unittest.TestCase):
     """Which requests a fleet uses as samples."""
 
-    def answer(self, world, placement, seconds):
+    def answer(self, world, in_flight_request, seconds):
         world.clock.now += seconds
-        world.fleet.note_output(placement)
+        world.fleet.record_output(in_flight_request)
 
     def test_queued_requests_are_no_prefill_samples(self):
         # Guards against queueing time being taken for prefill time: a short
@@ -171,21 +171,21 @@
             short = world.send(make_prompt(200 + number))
             self.answer(world, long, 0.5)
             self.answer(world, short, 0.0)
-            world.fleet.end(long, MODEL, whole=True)
-            world.fleet.end(short, MODEL, whole=True)
+            world.fleet.record_end(long, MODEL, whole=True)
+            world.fleet.record_end(short, MODEL, whole=True)
         engines = world.fleet.engines
-        self.assertLess(engines.first_seconds("model"), 0.1)
+        self.assertLess(engines.first_token_seconds("model"), 0.1)
 
     def test_waits_follow_observed_speeds(self):
         # Guards against waits that are estimated from the prior although the
         # engines' real speed has been observed.
         world = FleetWorld("a")
         for number in range(100):
-            placement = world.send(make_prompt(4000 + number * 100))
-            tokens = placement.choice.unread_tokens
-            self.answer(world, placement, 0.04 + tokens * 2.4e-5)
-            world.fleet.end(placement, MODEL, whole=True)
-        learned = world.choose(make_prompt(8001)).wait.own
+            in_flight_request = world.send(make_prompt(4000 + number * 100))
+            tokens = in_flight_request.choice.unread_tokens
+            self.answer(world, in_flight_request, 0.04 + tokens * 2.4e-5)
+            world.fleet.record_end(in_flight_request, MODEL, whole=True)
+        learned = world.choose(make_prompt(8001)).wait.service_time
         self.assertAlmostEqual(0.04 + 8001 * 2.4e-5, learned, delta=0.023)
 
     def test_progress_is_subtracted_of_the_running_prefill_only(self):
@@ -193,7 +193,7 @@
         # without output for a second can have prefilled one of the three.
         world = FleetWorld("a")
         first, *others = [
-            world.send(make_prompt(10_000 + number)).choice.reading_tokens
+            world.send(make_prompt(10_000 + number)).choice.prefill_cost_tokens
             for number in range(3)
         ]
         world.clock.now += 1.0
--- a/tests/passthrough/test_estimate_errors.py
+++ b/tests/passthrough/test_estimate_errors.py
@@ -67,16 +67,20 @@
         # Guards against preferring an endpoint with a short queue whose
         # responses are nevertheless late, as it was sent much recently.
         world = FleetWorld("busy", "idle")
-        tokens = int(1.5 / world.fleet.engines.token_seconds("model"))
+        tokens = int(1.5 / world.fleet.engines.prefill_token_seconds("model"))
         world.others["busy"] = Load.of([RankLoad(0, 1, 500, tokens, 1)])
         world.others["idle"] = Load.of([RankLoad(0, 1, 3000, 0, waiting=1)])
         before = world.choose(make_prompt(1000))
         self.assertEqual("busy", before.endpoint.endpoint_id)
         for _ in range(50):
-            placement = world.fleet.begin(before, MODEL, make_prompt(1000), 0)
-            world.clock.now += before.wait.queue + before.wait.own + 0.3
-            world.fleet.note_output(placement)
-            world.fleet.end(placement, MODEL, whole=False)
+            in_flight_request = world.fleet.record_sent(
+                before, MODEL, make_prompt(1000), 0
+            )
+            world.clock.now += (
+                before.wait.queue + before.wait.service_time + 0.3
+            )
+            world.fleet.record_output(in_flight_request)
+            world.fleet.record_end(in_flight_request, MODEL, whole=False)
         after = world.choose(make_prompt(1000))
         self.assertEqual("idle", after.endpoint.endpoint_id)
 
--- a/tests/passthrough/test_events.py
+++ b/tests/passthrough/test_events.py
@@ -5,8 +5,8 @@
 from hypothesis import given
 from hypothesis import strategies
 
-from burdockdrum.passthrough.events import BrokenEvents
-from burdockdrum.passthrough.events import EventCutter
+from burdockdrum.passthrough.events import InvalidEventStream
+from burdockdrum.passthrough.events import ResumableEventSplitter
 
 
 def event(number):
@@ -26,45 +26,45 @@
     )
     def test_chunk_boundaries_do_not_change_events(self, count, positions):
         data = stream(1, count)
-        cutter = EventCutter(last_number=None)
+        splitter = ResumableEventSplitter(last_number=None)
         out = b""
         begin = 0
         for end in [*sorted(min(p, len(data)) for p in positions), len(data)]:
-            out += cutter.feed(data[begin:end])
+            out += splitter.feed(data[begin:end])
             begin = end
         self.assertEqual(data, out)
-        self.assertFalse(cutter.has_rest)
+        self.assertFalse(splitter.has_partial_event)
 
     def test_resumed_stream_continues_without_gap_or_duplicate(self):
         # The first endpoint fails in the middle of event 3 and another one
         # resumes after event 2. Guards against partial or duplicate events.
-        cutter = EventCutter(last_number=None)
-        out = cutter.feed(stream(1, 2) + event(3)[:9])
-        self.assertEqual(2, cutter.last_number)
-        cutter.begin_run()
-        out += cutter.feed(stream(3, 5))
+        splitter = ResumableEventSplitter(last_number=None)
+        out = splitter.feed(stream(1, 2) + event(3)[:9])
+        self.assertEqual(2, splitter.last_number)
+        splitter.start_attempt()
+        out += splitter.feed(stream(3, 5))
         self.assertEqual(stream(1, 5), out)
 
     def test_restarted_stream_does_not_repeat_events(self):
-        cutter = EventCutter(last_number=None)
-        out = cutter.feed(stream(1, 3))
-        cutter.begin_run()
-        out += cutter.feed(stream(1, 4))
+        splitter = ResumableEventSplitter(last_number=None)
+        out = splitter.feed(stream(1, 3))
+        splitter.start_attempt()
+        out += splitter.feed(stream(1, 4))
         self.assertEqual(stream(1, 4), out)
 
     def test_missing_event_is_an_error(self):
-        cutter = EventCutter(last_number=4)
-        with self.assertRaises(BrokenEvents):
-            cutter.feed(event(6))
+        splitter = ResumableEventSplitter(last_number=4)
+        with self.assertRaises(InvalidEventStream):
+            splitter.feed(event(6))
 
     def test_endless_event_is_an_error(self):
-        cutter = EventCutter(last_number=None)
-        with self.assertRaises(BrokenEvents):
+        splitter = ResumableEventSplitter(last_number=None)
+        with self.assertRaises(InvalidEventStream):
             for _ in range(100):
-                cutter.feed(b"data: " + b"x" * 10_000)
+                splitter.feed(b"data: " + b"x" * 10_000)
 
     def test_carriage_returns_are_accepted(self):
-        cutter = EventCutter(last_number=None)
+        splitter = ResumableEventSplitter(last_number=None)
         data = b"id: 1\r\ndata: a\r\n\r\n"
-        self.assertEqual(data, cutter.feed(data))
-        self.assertEqual(1, cutter.last_number)
+        self.assertEqual(data, splitter.feed(data))
+        self.assertEqual(1, splitter.last_number)
--- a/tests/passthrough/test_fleet.py
+++ b/tests/passthrough/test_fleet.py
@@ -37,9 +37,11 @@
         long = world.send(make_prompt(64_000))
         expected = world.choose(make_prompt(100)).wait.queue
         engines = world.fleet.engines
-        reading = long.choice.wait.own - engines.first_seconds("model")
+        reading = long.choice.wait.service_time - engines.first_token_seconds(
+            "model"
+        )
         self.assertAlmostEqual(reading, expected, delta=0.02)
-        short = 64_000 * engines.token_seconds("model")
+        short = 64_000 * engines.prefill_token_seconds("model")
         self.assertGreater(expected, 1.6 * short)
 
     def test_requests_spread_over_idle_endpoints(self):
@@ -69,8 +71,8 @@
         chosen = set()
         for seed in range(3):
             world = FleetWorld("a", "b", "c", "d", "e", seed=seed)
-            placement = world.send(make_prompt(6600, *shared), rank=1)
-            chosen.add(placement.endpoint.endpoint_id)
+            in_flight_request = world.send(make_prompt(6600, *shared), rank=1)
+            chosen.add(in_flight_request.endpoint.endpoint_id)
         self.assertEqual(1, len(chosen))
 
     def test_busy_holder_of_a_prefix_is_avoided(self):
@@ -155,14 +157,14 @@
             "quiet", world.choose(make_prompt(10)).endpoint.endpoint_id
         )
 
-    def record_failures(self, world, name, times, *, note="note_failure"):
+    def record_failures(self, world, name, times, *, method="record_error"):
         """Record failures of an endpoint; return its health."""
         for _ in range(times):
-            placement = world.send(make_prompt(10))
-            world.fleet.end(placement, MODEL, whole=False)
+            in_flight_request = world.send(make_prompt(10))
+            world.fleet.record_end(in_flight_request, MODEL, whole=False)
         health = world.fleet.health_of(world.endpoints[name])
         for _ in range(times):
-            getattr(health, note)(world.clock.now)
+            getattr(health, method)(world.clock.now)
         return health
 
     def test_failing_endpoint_is_ejected_and_probed(self):
@@ -173,7 +175,7 @@
             world.send(make_prompt(10))
         health = world.fleet.health_of(world.endpoints["bad"])
         for _ in range(6):
-            health.note_failure(world.clock.now)
+            health.record_error(world.clock.now)
         chosen = [world.choose(make_prompt(10)) for _ in range(20)]
         self.assertEqual(
             {"good"}, {choice.endpoint.endpoint_id for choice in chosen}
@@ -181,10 +183,10 @@
         world.clock.now += 1.5
         tried = 0
         for _ in range(20):
-            placement = world.send(make_prompt(10))
-            tried += placement.endpoint.endpoint_id == "bad"
+            in_flight_request = world.send(make_prompt(10))
+            tried += in_flight_request.endpoint.endpoint_id == "bad"
         self.assertEqual(1, tried)
-        health.note_success()
+        health.record_success()
         self.assertFalse(health.is_ejected(world.clock.now))
 
     def test_ejected_endpoints_are_used_if_all_are_ejected(self):
@@ -202,27 +204,27 @@
         # kernel reports an error, which takes seconds.
         world = FleetWorld("dark", "good")
         for _ in range(20):
-            placement = world.send(make_prompt(0), backend=PLAIN_MODEL)
-            if placement.endpoint.endpoint_id == "dark":
+            in_flight_request = world.send(make_prompt(0), backend=PLAIN_MODEL)
+            if in_flight_request.endpoint.endpoint_id == "dark":
                 break
-            world.fleet.end(placement, PLAIN_MODEL, whole=True)
-        world.fleet._learning._run_seconds_by_service["model"] = 0.03
+            world.fleet.record_end(in_flight_request, PLAIN_MODEL, whole=True)
+        world.fleet._timings._run_seconds_by_service["model"] = 0.03
         world.clock.now += 0.5
         for _ in range(10):
-            placement = world.send(make_prompt(0), backend=PLAIN_MODEL)
-            self.assertEqual("good", placement.endpoint.endpoint_id)
-            world.fleet.end(placement, PLAIN_MODEL, whole=True)
+            in_flight_request = world.send(make_prompt(0), backend=PLAIN_MODEL)
+            self.assertEqual("good", in_flight_request.endpoint.endpoint_id)
+            world.fleet.record_end(in_flight_request, PLAIN_MODEL, whole=True)
 
     def test_endpoint_is_skipped_after_a_failed_connect(self):
         world = FleetWorld("a")
-        self.record_failures(world, "a", 1, note="note_unreachable")
+        self.record_failures(world, "a", 1, method="record_unreachable")
         self.assertIsNone(world.choose(make_prompt(10)))
         world.clock.now += 1.1
         self.assertIsNotNone(world.choose(make_prompt(10)))
 
     def test_broken_connections_count_double(self):
         world = FleetWorld("a")
-        health = self.record_failures(world, "a", 3, note="note_loss")
+        health = self.record_failures(world, "a", 3, method="record_loss")
         self.assertTrue(health.is_ejected(world.clock.now))
 
     def test_low_failure_rate_does_not_eject(self):
@@ -232,18 +234,20 @@
         world.send(make_prompt(10))
         for number in range(700):
             if number % 7 == 0:
-                health.note_failure(world.clock.now)
+                health.record_error(world.clock.now)
             else:
-                health.note_success()
+                health.record_success()
             self.assertIsNotNone(world.choose(make_prompt(10)))
 
     def test_load_returns_to_zero(self):
         world = FleetWorld("a")
-        placements = [world.send(make_prompt(100 + n)) for n in range(5)]
+        in_flight_requests = [
+            world.send(make_prompt(100 + n)) for n in range(5)
+        ]
         self.assertEqual(5, world.fleet.read_own_load()["a"][0].requests)
-        for placement in placements:
-            world.fleet.note_output(placement)
-            world.fleet.end(placement, MODEL, whole=True)
+        for in_flight_request in in_flight_requests:
+            world.fleet.record_output(in_flight_request)
+            world.fleet.record_end(in_flight_request, MODEL, whole=True)
         ranks = world.fleet.read_own_load()["a"]
         self.assertEqual(0, sum(rank.requests for rank in ranks))
         self.assertEqual(0, sum(rank.unread_tokens for rank in ranks))
--- a/tests/passthrough/test_limits.py
+++ b/tests/passthrough/test_limits.py
@@ -45,9 +45,9 @@
             clock.now = 100 + step / 5
             for budget in budgets:
                 for _ in range(per_second // 5 + 1):
-                    budget.note_request("s")
+                    budget.deposit("s")
                     firsts.append(clock.now)
-                    if budget.take("s"):
+                    if budget.try_withdraw("s"):
                         retries.append(clock.now)
         for end in range(100, 130):
             sent = sum(end - WINDOW < at <= end for at in retries)
@@ -56,11 +56,11 @@
 
     def test_single_failure_can_always_be_retried(self):
         budget = self.make(SteppedClock(), entries=7)
-        budget.note_request("s")
-        self.assertTrue(budget.take("s"))
+        budget.deposit("s")
+        self.assertTrue(budget.try_withdraw("s"))
 
     def test_services_have_separate_budgets(self):
         budget = self.make(SteppedClock(), entries=1)
-        while budget.take("a"):
+        while budget.try_withdraw("a"):
             pass
-        self.assertTrue(budget.take("b"))
+        self.assertTrue(budget.try_withdraw("b"))
--- a/tests/passthrough/test_regions.py
+++ b/tests/passthrough/test_regions.py
@@ -9,11 +9,11 @@
 
 from burdockdrum.holdings import HeldChange
 from burdockdrum.http1 import RequestHead
-from burdockdrum.passthrough.model import EndpointPlace
-from burdockdrum.passthrough.model import PassedRequest
-from burdockdrum.passthrough.model import Progress
-from burdockdrum.passthrough.model import RegionPlace
-from burdockdrum.passthrough.placing import Placing
+from burdockdrum.passthrough.model import EndpointTarget
+from burdockdrum.passthrough.model import ProxiedRequest
+from burdockdrum.passthrough.model import RegionTarget
+from burdockdrum.passthrough.model import RequestProgress
+from burdockdrum.passthrough.target_selection import TargetSelector
 from burdockdrum.peers import VmIdentity
 from burdockdrum.registrations import Load
 from burdockdrum.registrations import RankLoad
@@ -39,24 +39,26 @@
 
     def setUp(self):
         self.world = FleetWorld("a")
-        self.token_seconds = self.world.fleet.engines.token_seconds("model")
+        self.prefill_token_seconds = (
+            self.world.fleet.engines.prefill_token_seconds("model")
+        )
 
-    def make_placing(self, crossing_seconds=0.0):
-        return Placing(
+    def make_selector(self, crossing_seconds=0.0):
+        return TargetSelector(
             clock=self.world.clock,
             rng=random.Random(1),
             fleet=self.world.fleet,
             region="here",
-            read_rooms=lambda: [ServiceRoom("over", "model", 1, 8, [])],
+            read_capacities=lambda: [ServiceRoom("over", "model", 1, 8, [])],
             read_entries=lambda: [FAR_ENTRY],
-            read_closed=frozenset,
+            read_closed_data_centres=frozenset,
             hop_address=lambda identity: identity.http_address,
             crossing_seconds=crossing_seconds,
         )
 
     def make_request(self, prompt, body=b""):
         now = self.world.clock.now
-        return PassedRequest(
+        return ProxiedRequest(
             request_id="r",
             head=RequestHead(
                 method=b"POST",
@@ -75,11 +77,11 @@
         )
 
     def fill_queue(self, seconds):
-        tokens = int(seconds / self.token_seconds)
+        tokens = int(seconds / self.prefill_token_seconds)
         self.world.others["a"] = Load.of([RankLoad(0, 1, tokens, waiting=1)])
 
     def report_prefix(self, endpoint_id, data_centre):
-        self.world.ledger.take(
+        self.world.prefix_cache_table.take(
             HeldChange(
                 endpoint_id=endpoint_id,
                 address=f"{endpoint_id}:80",
@@ -97,30 +99,32 @@
         # prompt must be prefilled, and against not using a prefix there.
         self.fill_queue(0.4)
         self.report_prefix("a", "dc")
-        placing = self.make_placing()
+        selector = self.make_selector()
         request = self.make_request(PLAN)
         self.assertIsInstance(
-            placing.place(request, Progress()), EndpointPlace
+            selector.select(request, RequestProgress()), EndpointTarget
         )
         self.report_prefix("far-1", "there")
         self.fill_queue(0.45)
-        self.assertIsInstance(placing.place(request, Progress()), RegionPlace)
+        self.assertIsInstance(
+            selector.select(request, RequestProgress()), RegionTarget
+        )
 
     def test_remote_prefill_accounts_for_a_fetch_from_here(self):
         # Guards against overestimating a remote prefill: an endpoint there
         # can fetch the prefix from here.
         self.report_prefix("a", "dc")
-        unread, fetch = self.world.fleet.beginnings.expect_elsewhere(
+        unread, fetch = self.world.fleet.prefixes.estimate_in_region(
             MODEL, PLAN, "over", ()
         )
         self.assertEqual(3_700, unread)
-        self.assertTrue(fetch.is_far)
+        self.assertTrue(fetch.is_cross_region)
 
     def test_homes_restrict_fetches(self):
         # Guards against a violation of residency by fetching data from a
         # region where it must not be processed.
         self.report_prefix("a", "dc")
-        unread, fetch = self.world.fleet.beginnings.expect_elsewhere(
+        unread, fetch = self.world.fleet.prefixes.estimate_in_region(
             MODEL, PLAN, "over", ("over",)
         )
         self.assertEqual(17_000, unread)
@@ -132,23 +136,29 @@
         self.world.others["a"] = Load.of(
             [RankLoad(0, 7, 0, 0, 0), RankLoad(1, 1, 0, 0, 0)]
         )
-        placing = self.make_placing()
+        selector = self.make_selector()
         request = self.make_request(make_prompt(300))
-        self.assertIsInstance(placing.place(request, Progress()), RegionPlace)
+        self.assertIsInstance(
+            selector.select(request, RequestProgress()), RegionTarget
+        )
         self.world.others["a"] = Load.of([RankLoad(0, 7, 0, 0, 0)])
         self.assertIsInstance(
-            placing.place(request, Progress()), EndpointPlace
+            selector.select(request, RequestProgress()), EndpointTarget
         )
 
     def test_long_body_is_forwarded_only_for_a_larger_gain(self):
         # Guards against paying for the traffic of a long body to save 0.05 s.
         self.fill_queue(0.62)
         prompt = make_prompt(1000)
-        placing = self.make_placing(crossing_seconds=1.5)
+        selector = self.make_selector(crossing_seconds=1.5)
         short = self.make_request(prompt, b"x" * 1000)
         long = self.make_request(prompt, b"x" * 400_000)
-        self.assertIsInstance(placing.place(short, Progress()), RegionPlace)
-        self.assertIsInstance(placing.place(long, Progress()), EndpointPlace)
+        self.assertIsInstance(
+            selector.select(short, RequestProgress()), RegionTarget
+        )
+        self.assertIsInstance(
+            selector.select(long, RequestProgress()), EndpointTarget
+        )
 
 
 if __name__ == "__main__":
--- a/tests/passthrough/test_relay.py
+++ b/tests/passthrough/test_relay.py
@@ -166,7 +166,7 @@
         shared = [never_respond, answer(b"ran")]
         endpoints = [Endpoint(never_respond), Endpoint(never_respond)]
         entry = await self.open(*endpoints, attempts=2)
-        entry.fleet._learning._run_seconds_by_service["model"] = 0.03
+        entry.fleet._timings._run_seconds_by_service["model"] = 0.03
         for endpoint in endpoints:
             endpoint.behaviours = shared
         started_at = time.monotonic()
@@ -183,7 +183,7 @@
 
         endpoint = Endpoint(respond_late)
         entry = await self.open(endpoint, attempts=2)
-        entry.fleet._learning._run_seconds_by_service["model"] = 0.03
+        entry.fleet._timings._run_seconds_by_service["model"] = 0.03
         status, _, body = await entry.call()
         self.assertEqual((200, b"ran"), (status, body))
         self.assertEqual(1, len(endpoint.seen))
@@ -192,7 +192,7 @@
         entry = await self.open(
             Endpoint(never_respond), Endpoint(answer()), idempotent=False
         )
-        entry.fleet._learning._run_seconds_by_service["model"] = 0.03
+        entry.fleet._timings._run_seconds_by_service["model"] = 0.03
         codes = set()
         for _ in range(6):
             codes.add((await entry.call(b"X-Deadline-Ms: 700"))[0])
--- a/tests/passthrough/test_request_log.py
+++ b/tests/passthrough/test_request_log.py
@@ -5,22 +5,22 @@
 
 from burdockdrum.http1 import RequestHead
 from burdockdrum.http1 import ResponseHead
-from burdockdrum.passthrough.model import Answered
 from burdockdrum.passthrough.model import Delivered
+from burdockdrum.passthrough.model import ErrorResponse
 from burdockdrum.passthrough.model import Lost
 from burdockdrum.passthrough.model import NotStarted
-from burdockdrum.passthrough.model import PassedRequest
-from burdockdrum.passthrough.model import Progress
-from burdockdrum.passthrough.model import RegionPlace
+from burdockdrum.passthrough.model import ProxiedRequest
+from burdockdrum.passthrough.model import RegionTarget
+from burdockdrum.passthrough.model import RequestProgress
 from burdockdrum.passthrough.request_log import log_attempt
 from tests.passthrough.fakes import make_prompt
 from tests.passthrough.fakes import make_route
 from tests.passthrough.fakes import PLAIN
 
-PLACE = RegionPlace(
+TARGET = RegionTarget(
     region="there", address="there:80", vm_id="vm-2", wait_seconds=0.1
 )
-REQUEST = PassedRequest(
+REQUEST = ProxiedRequest(
     request_id="r",
     head=RequestHead(
         method=b"POST",
@@ -50,9 +50,9 @@
             log_failure=mock.DEFAULT,
         ) as logs:
             log_attempt(
-                PLACE,
+                TARGET,
                 REQUEST,
-                Progress(),
+                RequestProgress(),
                 outcome,
                 started_at=100.0,
                 first_byte_seconds=None,
@@ -65,12 +65,12 @@
     def test_outcome_names_in_the_log_are_stable(self):
         # Operators search for these names; renaming a class must not
         # change them.
-        answered = Answered(
+        error_response = ErrorResponse(
             head=ResponseHead(status=500, headers=[]), body=b""
         )
         for outcome, expected in (
             (Delivered(status=200), ("log_decision", "Delivered")),
-            (answered, ("log_failure", "Answered")),
+            (error_response, ("log_failure", "Answered")),
             (
                 NotStarted(reason="", reached=True),
                 ("log_failure", "NotStarted"),
