--- a/tests/passthrough/test_restarts.py
+++ b/tests/passthrough/test_restarts.py
@@ -71,7 +71,7 @@
         self.world = FleetWorld()
         endpoint = make_start(1000)
         self.world.endpoints[endpoint.endpoint_id] = endpoint
-        self.health = self.world.fleet._track(endpoint).health
+        self.health = self.world.fleet._state_of(endpoint).health
 
     def count_admitted(self, seconds):
         """Send requests as fast as admitted; return their number."""
@@ -79,7 +79,7 @@
         for _ in range(int(seconds / 0.02)):
             choice = self.world.choose(PROMPT, backend=self.MODEL)
             if choice is not None:
-                self.world.fleet.begin(choice, self.MODEL, PROMPT, 0)
+                self.world.fleet.record_sent(choice, self.MODEL, PROMPT, 0)
                 admitted += 1
             self.world.clock.now += 0.02
         return admitted
@@ -87,12 +87,12 @@
     def test_recovered_endpoint_gets_slow_start(self):
         # The endpoint accepts connections again before its restart is
         # reported. Guards against overloading it with its former traffic.
-        self.health.note_unreachable(self.world.clock.now)
+        self.health.record_unreachable(self.world.clock.now)
         self.assertIsNone(self.world.choose(PROMPT, backend=self.MODEL))
         self.world.clock.now += 1.1
         bound = MODEL.cold_requests_per_second
         self.assertLessEqual(self.count_admitted(1.0), bound + 1)
-        self.health.note_reached(self.world.clock.now)
+        self.health.record_reached(self.world.clock.now)
         self.assertLessEqual(self.count_admitted(1.0), bound + 1)
         self.world.clock.now += SLOW_START_SECONDS
         self.assertEqual(50, self.count_admitted(1.0))
@@ -100,8 +100,8 @@
     def test_endpoint_with_a_new_id_for_each_start_gets_no_slow_start(self):
         # A restarted endpoint would refuse requests to its former id.
         self.world.endpoints = {"e2": make_endpoint("e2")}
-        health = self.world.fleet._track(make_endpoint("e2")).health
-        health.note_unreachable(self.world.clock.now)
+        health = self.world.fleet._state_of(make_endpoint("e2")).health
+        health.record_unreachable(self.world.clock.now)
         self.world.clock.now += 1.1
         self.assertEqual(50, self.count_admitted(1.0))
 
@@ -121,7 +121,7 @@
         while not unresponsive.seen and not call_task.done():
             await asyncio.sleep(0.01)
         if unresponsive.seen:
-            entry.attempts.end_start("here-0")
+            entry.attempts.abort_incarnation("here-0")
         async with asyncio.timeout(1.0):
             status, _, body = await call_task
         self.assertEqual((200, b"ok"), (status, body))
@@ -136,7 +136,7 @@
         call_task = asyncio.create_task(entry.call(method=b"POST", body=b"x"))
         while not unresponsive.seen:
             await asyncio.sleep(0.01)
-        entry.attempts.end_start("here-0")
+        entry.attempts.abort_incarnation("here-0")
         async with asyncio.timeout(1.0):
             status, _, body = await call_task
         self.assertEqual(502, status)
--- a/tests/passthrough/test_table.py
+++ b/tests/passthrough/test_table.py
@@ -4,12 +4,12 @@
 import unittest
 
 from burdockdrum.http1 import RequestHead
+from burdockdrum.passthrough.header_names import HeaderNames
 from burdockdrum.passthrough.prompts import parse_prompt
-from burdockdrum.passthrough.reading import RequestReader
-from burdockdrum.passthrough.refusing import status_of
-from burdockdrum.passthrough.table import choose_service
-from burdockdrum.passthrough.table import RouteIndex
-from burdockdrum.passthrough.vocabulary import HeaderNames
+from burdockdrum.passthrough.refusal_responses import status_of
+from burdockdrum.passthrough.request_reader import RequestReader
+from burdockdrum.passthrough.route_index import choose_service
+from burdockdrum.passthrough.route_index import RouteIndex
 from burdockdrum.resources import Backend
 from burdockdrum.resources import RouteTableSpec
 from burdockdrum.resources import WeightedService
@@ -106,9 +106,11 @@
             (b"X-Burdockdrum-Attempts", b"1"),
         )
         request = self.read(*hop)
-        self.assertEqual((None, 3), (request.came_from, request.attempts))
+        self.assertEqual((None, 3), (request.forwarded_from, request.attempts))
         request = self.read(*hop, is_hop=True)
-        self.assertEqual(("far", 1), (request.came_from, request.attempts))
+        self.assertEqual(
+            ("far", 1), (request.forwarded_from, request.attempts)
+        )
 
     def test_missing_route_is_retryable_with_outdated_table(self):
         # Guards against a final "not found" from an entry whose table may
@@ -132,7 +134,7 @@
         for value in (b"x", b"x:", b":3", b"a:1,b"):
             self.assertEqual((), parse_prompt(b"5,1", value).parts)
         prompt = parse_prompt(b"30,9", b"a:10, b:15,own:5")
-        self.assertEqual((30, 9), (prompt.tokens, prompt.max_output))
+        self.assertEqual((30, 9), (prompt.tokens, prompt.max_output_tokens))
         self.assertEqual("b", prompt.affinity_key)
 
 
--- a/tests/passthrough/test_placing.py
+++ b/tests/passthrough/test_target_selection.py
@@ -4,11 +4,11 @@
 import unittest
 
 from burdockdrum.http1 import RequestHead
-from burdockdrum.passthrough.model import EndpointPlace
-from burdockdrum.passthrough.model import PassedRequest
-from burdockdrum.passthrough.model import Progress
-from burdockdrum.passthrough.placing import MIN_QUEUE_SECONDS
-from burdockdrum.passthrough.placing import Placing
+from burdockdrum.passthrough.model import EndpointTarget
+from burdockdrum.passthrough.model import ProxiedRequest
+from burdockdrum.passthrough.model import RequestProgress
+from burdockdrum.passthrough.target_selection import MIN_QUEUE_SECONDS
+from burdockdrum.passthrough.target_selection import TargetSelector
 from burdockdrum.registrations import Load
 from burdockdrum.registrations import RankLoad
 from burdockdrum.settings import MechanismSettings
@@ -29,24 +29,26 @@
 
     def setUp(self):
         self.world = FleetWorld("a")
-        self.token_seconds = self.world.fleet.engines.token_seconds("model")
+        self.prefill_token_seconds = (
+            self.world.fleet.engines.prefill_token_seconds("model")
+        )
 
-    def make_placing(self, **mechanisms):
-        return Placing(
+    def make_selector(self, **mechanisms):
+        return TargetSelector(
             clock=self.world.clock,
             rng=random.Random(1),
             fleet=self.world.fleet,
             region="here",
-            read_rooms=list,
+            read_capacities=list,
             read_entries=list,
-            read_closed=frozenset,
+            read_closed_data_centres=frozenset,
             hop_address=lambda identity: "",
             mechanisms=MechanismSettings(**mechanisms),
         )
 
     def make_request(self, since=0.0, tokens=100):
         now = self.world.clock.now
-        return PassedRequest(
+        return ProxiedRequest(
             request_id="r",
             head=RequestHead(
                 method=b"POST",
@@ -65,60 +67,62 @@
         )
 
     def fill_queue(self, seconds):
-        tokens = int(seconds / self.token_seconds)
+        tokens = int(seconds / self.prefill_token_seconds)
         self.world.others["a"] = Load.of([RankLoad(0, 1, tokens, waiting=1)])
 
     def test_request_within_its_objective_is_accepted(self):
         self.fill_queue(0.9)
-        place = self.make_placing().place(self.make_request(), Progress())
-        self.assertIsInstance(place, EndpointPlace)
+        target = self.make_selector().select(
+            self.make_request(), RequestProgress()
+        )
+        self.assertIsInstance(target, EndpointTarget)
 
     def test_request_beyond_its_objective_is_refused(self):
         # Retry-After is the time until the queue is short enough.
         self.fill_queue(1.5)
         with self.assertRaises(Refusal) as raised:
-            self.make_placing().place(self.make_request(), Progress())
+            self.make_selector().select(self.make_request(), RequestProgress())
         self.assertIs(Verdict.NOT_RUN, raised.exception.verdict)
         self.assertAlmostEqual(0.5, raised.exception.retry_after, delta=0.1)
 
     def test_own_prefill_time_counts(self):
         """Guards against accepting prompts whose own prefill is too late."""
-        tokens = int(0.3 / self.token_seconds)
-        place = self.make_placing().place
+        tokens = int(0.3 / self.prefill_token_seconds)
+        select = self.make_selector().select
         self.fill_queue(0.5)
-        place(self.make_request(tokens=tokens), Progress())
+        select(self.make_request(tokens=tokens), RequestProgress())
         self.fill_queue(0.85)
-        place(self.make_request(), Progress())
+        select(self.make_request(), RequestProgress())
         with self.assertRaises(Refusal):
-            place(self.make_request(tokens=tokens), Progress())
+            select(self.make_request(tokens=tokens), RequestProgress())
 
     def test_longest_prompts_are_accepted(self):
         """Guards against refusing the longest prompts at any load."""
-        tokens = int(1.5 / self.token_seconds)
+        tokens = int(1.5 / self.prefill_token_seconds)
         self.fill_queue(0.2)
         request = self.make_request(tokens=tokens)
-        place = self.make_placing().place(request, Progress())
-        self.assertIsInstance(place, EndpointPlace)
+        target = self.make_selector().select(request, RequestProgress())
+        self.assertIsInstance(target, EndpointTarget)
 
     def test_request_past_its_objective_queues_only_briefly(self):
         # Guards against a late request delaying those that are in time. It
         # was held while the routes were not known yet.
         request = self.make_request(since=2.0)
         self.fill_queue(MIN_QUEUE_SECONDS / 2)
-        place = self.make_placing().place(request, Progress())
-        self.assertIsInstance(place, EndpointPlace)
+        target = self.make_selector().select(request, RequestProgress())
+        self.assertIsInstance(target, EndpointTarget)
         self.fill_queue(MIN_QUEUE_SECONDS * 2)
         with self.assertRaises(Refusal):
-            self.make_placing().place(request, Progress())
+            self.make_selector().select(request, RequestProgress())
 
     def test_early_refusal_can_be_disabled(self):
-        placing = self.make_placing(early_refusal=False)
+        selector = self.make_selector(early_refusal=False)
         self.fill_queue(2.5)
-        place = placing.place(self.make_request(), Progress())
-        self.assertIsInstance(place, EndpointPlace)
+        target = selector.select(self.make_request(), RequestProgress())
+        self.assertIsInstance(target, EndpointTarget)
         self.fill_queue(3.5)
         with self.assertRaises(Refusal):
-            placing.place(self.make_request(), Progress())
+            selector.select(self.make_request(), RequestProgress())
 
 
 if __name__ == "__main__":
--- a/tests/passthrough/test_waiting.py
+++ b/tests/passthrough/test_waiting.py
@@ -3,10 +3,10 @@
 import unittest
 
 from burdockdrum.passthrough.prompts import Prompt
-from burdockdrum.passthrough.waiting import decode_risk_seconds
-from burdockdrum.passthrough.waiting import estimate_queue
-from burdockdrum.passthrough.waiting import MIN_CAPACITY_FRACTION
-from burdockdrum.passthrough.waiting import Wait
+from burdockdrum.passthrough.wait_estimates import decode_risk_seconds
+from burdockdrum.passthrough.wait_estimates import estimate_queue
+from burdockdrum.passthrough.wait_estimates import ExpectedWait
+from burdockdrum.passthrough.wait_estimates import MIN_CAPACITY_FRACTION
 from burdockdrum.registrations import Load
 from burdockdrum.registrations import RankLoad
 from burdockdrum.registrations import RankSum
@@ -30,7 +30,7 @@
             rank=rank,
             slots=32,
             run_seconds=1.2,
-            token_seconds=TOKEN_SECONDS,
+            prefill_token_seconds=TOKEN_SECONDS,
         )
 
     def test_urgent_request_does_not_wait_for_less_urgent_ones(self):
@@ -75,12 +75,12 @@
 class WritingTest(unittest.TestCase):
     """Outputs that may be late at endpoints that are busy with prefill."""
 
-    PROMPT = Prompt(tokens=12_000, max_output=390)
+    PROMPT = Prompt(tokens=12_000, max_output_tokens=390)
 
     def total(self, prompt, busy, own):
         step = STEP_SECONDS + busy * READING_STEP_SECONDS
         risk = decode_risk_seconds(prompt, step, 10.0)
-        return Wait(queue=0.0, own=own, penalty=risk).total
+        return ExpectedWait(queue=0.0, service_time=own, penalty=risk).total
 
     def test_long_output_goes_where_decoding_is_faster(self):
         # Guards against choosing an endpoint by the first token alone, where
@@ -91,18 +91,22 @@
     def test_no_decode_risk_at_the_usual_load(self):
         # Guards against needless hops for outputs that end in time.
         self.assertEqual(0.15, self.total(self.PROMPT, 0.4, 0.15))
-        query = Prompt(tokens=2400, max_output=23)
+        query = Prompt(tokens=2400, max_output_tokens=23)
         self.assertEqual(0.03, self.total(query, 1.0, 0.03))
 
     def test_output_hint_counts_up_to_the_maximum(self):
         # Guards against using the maximum output length as an estimate, and
         # against trusting a hint above the maximum.
-        hinted = Prompt(tokens=12_000, max_output=1116, hinted_output=360)
+        hinted = Prompt(
+            tokens=12_000, max_output_tokens=1116, hinted_output_tokens=360
+        )
         self.assertEqual(0.15, self.total(hinted, 0.4, 0.15))
-        unknown = Prompt(tokens=12_000, max_output=1116)
+        unknown = Prompt(tokens=12_000, max_output_tokens=1116)
         self.assertGreater(self.total(unknown, 0.4, 0.15), 1.0)
-        wrong = Prompt(tokens=12_000, max_output=100, hinted_output=9000)
-        self.assertEqual(100, wrong.expected_output)
+        wrong = Prompt(
+            tokens=12_000, max_output_tokens=100, hinted_output_tokens=9000
+        )
+        self.assertEqual(100, wrong.expected_output_tokens)
 
 
 class LoadTest(unittest.TestCase):
--- a/tests/passthrough/test_warmth.py
+++ b/tests/passthrough/test_warmth.py
@@ -6,12 +6,12 @@
 
 from burdockdrum.holdings import HeldChange
 from burdockdrum.holdings import HoldingsLedger
-from burdockdrum.passthrough.beginnings import Fetch
-from burdockdrum.passthrough.beginnings import link_seconds
-from burdockdrum.passthrough.engines import Engines
-from burdockdrum.passthrough.warmth import SENT_VALID_SECONDS
-from burdockdrum.passthrough.warmth import SentParts
-from burdockdrum.passthrough.warmth import Warmth
+from burdockdrum.passthrough.engines import EngineEstimates
+from burdockdrum.passthrough.prefix_cache_view import PrefixCacheView
+from burdockdrum.passthrough.prefix_cache_view import SENT_VALID_SECONDS
+from burdockdrum.passthrough.prefix_cache_view import SentParts
+from burdockdrum.passthrough.prefixes import PrefixFetch
+from burdockdrum.passthrough.prefixes import transfer_seconds
 from burdockdrum.registrations import Load
 from burdockdrum.registrations import RankLoad
 from tests.passthrough.fakes import FleetWorld
@@ -24,10 +24,10 @@
 
 
 def report_cache(
-    ledger, endpoint_id, number=1, *, data_centre="dc", **tokens_by_part
+    table, endpoint_id, number=1, *, data_centre="dc", **tokens_by_part
 ):
     """Record a full cache report of an endpoint."""
-    ledger.take(
+    table.take(
         HeldChange(
             endpoint_id=endpoint_id,
             address=f"{endpoint_id}:80",
@@ -49,13 +49,13 @@
 
     def setUp(self):
         self.now = 100.0
-        self.warmth = self.make()
+        self.view = self.make()
 
-    def make(self, ledger=None):
-        return Warmth(read_now=lambda: self.now, ledger=ledger)
+    def make(self, table=None):
+        return PrefixCacheView(read_now=lambda: self.now, table=table)
 
-    def find(self, warmth, prompt, allowed=lambda name: True):
-        return warmth.find_best_holder(prompt, NEAR, allowed)
+    def find(self, view, prompt, allowed=lambda name: True):
+        return view.find_best_holder(prompt, NEAR, allowed)
 
     def sent(self, memory_tokens, *prompts):
         parts = SentParts(memory_tokens=memory_tokens)
@@ -64,9 +64,9 @@
         return parts
 
     def test_cached_prefix_ends_at_the_first_uncached_part(self):
-        self.warmth.note_sent("a", make_prompt(6000, *SHARED), 100_000)
+        self.view.record_sent("a", make_prompt(6000, *SHARED), 100_000)
         other = make_prompt(6000, ("head", 500), ("plan-8", 4900))
-        self.assertEqual(500, self.warmth.held_tokens("a", other))
+        self.assertEqual(500, self.view.cached_tokens("a", other))
 
     def test_least_recently_used_parts_are_evicted(self):
         prompts = [
@@ -79,20 +79,20 @@
 
     def test_new_parts_are_published_once(self):
         for _ in range(3):
-            self.warmth.note_sent("a", make_prompt(6000, *SHARED), 100_000)
-        (notice,) = self.warmth.take_placed()
-        self.assertEqual([], self.warmth.take_placed())
+            self.view.record_sent("a", make_prompt(6000, *SHARED), 100_000)
+        (notice,) = self.view.pop_notices()
+        self.assertEqual([], self.view.pop_notices())
         other = self.make()
-        other.hear_placed([notice])
+        other.record_notices([notice])
         prompt = make_prompt(7000, *SHARED)
-        self.assertEqual(5400, other.held_tokens("a", prompt))
+        self.assertEqual(5400, other.cached_tokens("a", prompt))
         self.assertEqual("a", self.find(other, prompt).endpoint_id)
 
     def test_endpoint_that_is_gone_holds_nothing(self):
-        self.warmth.note_sent("a", make_prompt(6000, *SHARED), 100_000)
-        self.warmth.keep_only({"b"})
+        self.view.record_sent("a", make_prompt(6000, *SHARED), 100_000)
+        self.view.retain_endpoints({"b"})
         prompt = make_prompt(6000, *SHARED)
-        self.assertIsNone(self.find(self.warmth, prompt))
+        self.assertIsNone(self.find(self.view, prompt))
 
 
 class ToldTest(WarmthTest):
@@ -100,55 +100,55 @@
 
     def setUp(self):
         super().setUp()
-        self.ledger = HoldingsLedger()
-        self.reporting = self.make(self.ledger)
+        self.table = HoldingsLedger()
+        self.reporting = self.make(self.table)
         self.prompt = make_prompt(6000, *SHARED)
 
     def test_report_overrides_older_sent_prompts(self):
         # Guards against counting a prefix that the endpoint has evicted since
         # it was sent.
-        self.reporting.note_sent("a", self.prompt, 400_000)
-        self.assertEqual(6000, self.reporting.held_tokens("a", self.prompt))
+        self.reporting.record_sent("a", self.prompt, 400_000)
+        self.assertEqual(6000, self.reporting.cached_tokens("a", self.prompt))
         self.now += SENT_VALID_SECONDS + 0.1
-        report_cache(self.ledger, "a", other=700)
-        self.assertEqual(0, self.reporting.held_tokens("a", self.prompt))
+        report_cache(self.table, "a", other=700)
+        self.assertEqual(0, self.reporting.cached_tokens("a", self.prompt))
 
     def test_recently_sent_prompt_counts_before_it_is_reported(self):
         # Its prefill is running, and the report follows within seconds.
-        report_cache(self.ledger, "a", head=500)
-        self.reporting.note_sent("a", self.prompt, 400_000)
-        self.assertEqual(6000, self.reporting.held_tokens("a", self.prompt))
+        report_cache(self.table, "a", head=500)
+        self.reporting.record_sent("a", self.prompt, 400_000)
+        self.assertEqual(6000, self.reporting.cached_tokens("a", self.prompt))
         self.now += SENT_VALID_SECONDS + 0.1
-        self.assertEqual(500, self.reporting.held_tokens("a", self.prompt))
+        self.assertEqual(500, self.reporting.cached_tokens("a", self.prompt))
 
     def test_missing_last_block_does_not_end_the_prefix(self):
         # Only full blocks are cached: 4,896 of 4,900 tokens count as the
         # whole part, 2,000 as a part that was partly evicted.
-        report_cache(self.ledger, "a", head=496, plan_7=4896)
-        self.assertEqual(5392, self.reporting.held_tokens("a", self.prompt))
-        report_cache(self.ledger, "a", 2, head=496, plan_7=2000)
-        self.assertEqual(2496, self.reporting.held_tokens("a", self.prompt))
+        report_cache(self.table, "a", head=496, plan_7=4896)
+        self.assertEqual(5392, self.reporting.cached_tokens("a", self.prompt))
+        report_cache(self.table, "a", 2, head=496, plan_7=2000)
+        self.assertEqual(2496, self.reporting.cached_tokens("a", self.prompt))
 
     def test_unreported_short_part_counts_with_its_successor(self):
         # 100 tokens of instructions precede a long document.
         prompt = make_prompt(6000, ("rules", 100), ("plan-7", 4900))
-        report_cache(self.ledger, "a", plan_7=4900)
-        self.assertEqual(5000, self.reporting.held_tokens("a", prompt))
-        report_cache(self.ledger, "a", 2, other=4900)
-        self.assertEqual(0, self.reporting.held_tokens("a", prompt))
+        report_cache(self.table, "a", plan_7=4900)
+        self.assertEqual(5000, self.reporting.cached_tokens("a", prompt))
+        report_cache(self.table, "a", 2, other=4900)
+        self.assertEqual(0, self.reporting.cached_tokens("a", prompt))
 
     def test_holder_in_another_region_is_found(self):
         report_cache(
-            self.ledger, "far", data_centre="there", head=500, plan_7=4900
+            self.table, "far", data_centre="there", head=500, plan_7=4900
         )
         holder = self.find(self.reporting, self.prompt)
         self.assertEqual(("far:80", 5400), (holder.address, holder.tokens))
 
     def test_holder_in_this_region_is_preferred(self):
         report_cache(
-            self.ledger, "far", data_centre="there", head=500, plan_7=4900
+            self.table, "far", data_centre="there", head=500, plan_7=4900
         )
-        report_cache(self.ledger, "b", head=496, plan_7=4896)
+        report_cache(self.table, "b", head=496, plan_7=4896)
         holder = self.find(self.reporting, self.prompt)
         self.assertEqual("b", holder.endpoint_id)
 
@@ -156,7 +156,7 @@
         # Data residency: the prefix is cached in a region that may not
         # process the request.
         report_cache(
-            self.ledger, "far", data_centre="there", head=500, plan_7=4900
+            self.table, "far", data_centre="there", head=500, plan_7=4900
         )
         holder = self.find(
             self.reporting, self.prompt, lambda name: name == "dc"
@@ -180,7 +180,7 @@
         # it. Guards against overloading the one chosen by a hash.
         world = FleetWorld("a", "b", "c")
         for name in "abc":
-            report_cache(world.ledger, name, other=5000)
+            report_cache(world.prefix_cache_table, name, other=5000)
         self.assertEqual({0.0}, set(self.penalties(world).values()))
 
     def test_late_reports_keep_a_prefix_to_one_endpoint(self):
@@ -188,7 +188,7 @@
         # concurrent entries learn of each other's choices too late.
         world = FleetWorld("a", "b", "c")
         for name in "abc":
-            report_cache(world.ledger, name, other=5000)
+            report_cache(world.prefix_cache_table, name, other=5000)
         prompt = make_prompt(7000, *SHARED)
         for lag, number in ((0.01, 3), (1.0, 1)):
             world.lag = lag
@@ -206,7 +206,9 @@
         self.prompt = make_prompt(6600, *SHARED)
 
     def hold(self, endpoint_id):
-        self.world.fleet.warmth.note_sent(endpoint_id, self.prompt, 400_000)
+        self.world.fleet.prefix_cache_view.record_sent(
+            endpoint_id, self.prompt, 400_000
+        )
 
     def test_idle_holder_is_chosen(self):
         self.hold("b")
@@ -229,35 +231,35 @@
         # This entry failed to connect to the holder. Guards against a fetch
         # that blocks the request and those behind it.
         self.hold("b")
-        track = self.world.fleet._track(self.world.endpoints["b"])
-        track.health.note_unreachable(self.world.clock.now)
+        track = self.world.fleet._state_of(self.world.endpoints["b"])
+        track.health.record_unreachable(self.world.clock.now)
         choice = self.world.choose(make_prompt(7000, *SHARED), rank=1)
         self.assertIsNone(choice.fetch_from)
 
     def test_nothing_is_fetched_from_an_unresponsive_endpoint(self):
         # Other entries report that it does not answer cache queries.
         far = {"data_centre": "there", "head": 500, "plan_7": 4900}
-        report_cache(self.world.ledger, "far", **far)
-        whole = self.world.ledger.read_whole("far")
+        report_cache(self.world.prefix_cache_table, "far", **far)
+        whole = self.world.prefix_cache_table.read_whole("far")
         unresponsive = msgspec.structs.replace(whole, is_silent=True)
-        self.world.ledger.take(unresponsive, self.world.clock.now)
+        self.world.prefix_cache_table.take(unresponsive, self.world.clock.now)
         choice = self.world.choose(make_prompt(7000, *SHARED), rank=1)
         self.assertIsNone(choice.fetch_from)
 
     def test_prefix_is_fetched_from_another_region(self):
         # Fetching takes less time than prefill, also between regions.
         far = {"data_centre": "there", "head": 500, "plan_7": 4900}
-        report_cache(self.world.ledger, "far", **far)
+        report_cache(self.world.prefix_cache_table, "far", **far)
         choice = self.world.choose(make_prompt(7000, *SHARED), rank=1)
         self.assertEqual("far:80", choice.fetch_from)
         self.assertEqual(1600, choice.unread_tokens)
-        self.assertTrue(choice.fetch.is_far)
-        near = link_seconds(MODEL, 5400)
-        self.assertAlmostEqual(2 * near, choice.fetch.link_seconds)
+        self.assertTrue(choice.fetch.is_cross_region)
+        near = transfer_seconds(MODEL, 5400)
+        self.assertAlmostEqual(2 * near, choice.fetch.transfer_seconds)
 
     def test_prefix_is_fetched_from_allowed_regions_only(self):
         far = {"data_centre": "there", "head": 500, "plan_7": 4900}
-        report_cache(self.world.ledger, "far", **far)
+        report_cache(self.world.prefix_cache_table, "far", **far)
         prompt = make_prompt(7000, *SHARED)
         choice = self.world.choose(prompt, rank=1, homes=["here"])
         self.assertIsNone(choice.fetch_from)
@@ -277,17 +279,17 @@
         self.assertIsNone(choice.fetch_from)
 
     def test_transfer_time_follows_the_bandwidth(self):
-        self.assertAlmostEqual(0.04, link_seconds(MODEL, 5400), places=3)
-        self.assertEqual(0.0, link_seconds(PLAIN, 5400))
+        self.assertAlmostEqual(0.04, transfer_seconds(MODEL, 5400), places=3)
+        self.assertEqual(0.0, transfer_seconds(PLAIN, 5400))
 
     def test_fetch_time_is_learned(self):
         # Concurrent transfers queue and take three times as long as the
         # bandwidth allows.
-        engines = Engines()
-        fetch = Fetch(address="b:80", tokens=5400, link_seconds=0.04)
+        engines = EngineEstimates()
+        fetch = PrefixFetch(address="b:80", tokens=5400, transfer_seconds=0.04)
         before = engines.fetch_seconds("s", fetch)
         for _ in range(60):
-            engines.note_fetch("s", fetch, 0.13)
+            engines.record_fetch("s", fetch, 0.13)
         self.assertLess(before, 0.08)
         self.assertAlmostEqual(
             0.13, engines.fetch_seconds("s", fetch), delta=0.02
@@ -297,14 +299,17 @@
     def test_fetch_times_are_learned_separately_by_distance(self):
         # Guards against slow fetches from other regions (0.4 s) raising the
         # estimate for fetches within the region (0.05 s).
-        engines = Engines()
-        near = Fetch(address="b:80", tokens=5400, link_seconds=0.04)
-        far = Fetch(
-            address="c:80", tokens=5400, link_seconds=0.08, is_far=True
+        engines = EngineEstimates()
+        near = PrefixFetch(address="b:80", tokens=5400, transfer_seconds=0.04)
+        far = PrefixFetch(
+            address="c:80",
+            tokens=5400,
+            transfer_seconds=0.08,
+            is_cross_region=True,
         )
         for _ in range(30):
-            engines.note_fetch("s", near, 0.05)
-            engines.note_fetch("s", far, 0.4)
+            engines.record_fetch("s", near, 0.05)
+            engines.record_fetch("s", far, 0.4)
         self.assertAlmostEqual(
             0.05, engines.fetch_seconds("s", near), delta=0.01
         )
--- a/tests/platform/test_faces.py
+++ b/tests/platform/test_faces.py
@@ -65,7 +65,9 @@
         self.views = []
         directory = DirectoryCalls(
             vms=types.SimpleNamespace(live_vms=lambda: self.views),
-            routes=types.SimpleNamespace(homes_of=lambda host: {"home"}),
+            routes=types.SimpleNamespace(
+                home_regions_of=lambda host: {"home"}
+            ),
             rng=random.Random(1),
         )
         face = Face(
