--- a/tests/passthrough/fakes.py
+++ b/tests/passthrough/fakes.py
@@ -27,7 +27,7 @@
 PLAIN = Backend(name="plain")
 
 
-class SteppedClock:
+class ManualClock:
     """A clock that a test advances by hand."""
 
     def __init__(self):
@@ -83,12 +83,12 @@
     return Route(**{**defaults, **fields})
 
 
-class FleetWorld:
+class FleetHarness:
     """A fleet with endpoints and reported loads that a test sets."""
 
     def __init__(self, *ids, seed=1, crossing_seconds=0.0):
         """Create idle endpoints with some ids."""
-        self.clock = SteppedClock()
+        self.clock = ManualClock()
         self.endpoints = {name: make_endpoint(name) for name in ids}
         self.others = {}
         self.unheard = 0
--- a/tests/passthrough/test_attempt_timeouts.py
+++ b/tests/passthrough/test_attempt_timeouts.py
@@ -44,7 +44,7 @@
     run_virtual(main())
 
 
-class SilenceWatchTest(unittest.TestCase):
+class AttemptWatchdogTest(unittest.TestCase):
     """Idle attempts, with and without an alternative target."""
 
     def test_idle_attempt_is_aborted_if_there_is_an_alternative(self):
--- a/tests/passthrough/test_engines.py
+++ b/tests/passthrough/test_engines.py
@@ -7,7 +7,7 @@
 from burdockdrum.passthrough.engines import count_attention_pairs
 from burdockdrum.passthrough.engines import EngineEstimates
 from burdockdrum.passthrough.prompts import Prompt
-from tests.passthrough.fakes import FleetWorld
+from tests.passthrough.fakes import FleetHarness
 from tests.passthrough.fakes import make_prompt
 from tests.passthrough.fakes import MODEL
 
@@ -165,7 +165,7 @@
     def test_queued_requests_are_no_prefill_samples(self):
         # Guards against queueing time being taken for prefill time: a short
         # request waits for an uncached long prompt.
-        world = FleetWorld("a")
+        world = FleetHarness("a")
         for number in range(100):
             long = world.send(make_prompt(20_000 + number))
             short = world.send(make_prompt(200 + number))
@@ -179,7 +179,7 @@
     def test_waits_follow_observed_speeds(self):
         # Guards against waits that are estimated from the prior although the
         # engines' real speed has been observed.
-        world = FleetWorld("a")
+        world = FleetHarness("a")
         for number in range(100):
             in_flight_request = world.send(make_prompt(4000 + number * 100))
             tokens = in_flight_request.choice.unread_tokens
@@ -191,7 +191,7 @@
     def test_progress_is_subtracted_of_the_running_prefill_only(self):
         # Guards against counting down all queued prompts at once: an engine
         # without output for a second can have prefilled one of the three.
-        world = FleetWorld("a")
+        world = FleetHarness("a")
         first, *others = [
             world.send(make_prompt(10_000 + number)).choice.prefill_cost_tokens
             for number in range(3)
--- a/tests/passthrough/test_estimate_errors.py
+++ b/tests/passthrough/test_estimate_errors.py
@@ -9,7 +9,7 @@
 from burdockdrum.passthrough.estimate_errors import EstimateErrors
 from burdockdrum.registrations import Load
 from burdockdrum.registrations import RankLoad
-from tests.passthrough.fakes import FleetWorld
+from tests.passthrough.fakes import FleetHarness
 from tests.passthrough.fakes import make_prompt
 from tests.passthrough.fakes import MODEL
 
@@ -66,7 +66,7 @@
     def test_learned_errors_change_the_choice(self):
         # Guards against preferring an endpoint with a short queue whose
         # responses are nevertheless late, as it was sent much recently.
-        world = FleetWorld("busy", "idle")
+        world = FleetHarness("busy", "idle")
         tokens = int(1.5 / world.fleet.engines.prefill_token_seconds("model"))
         world.others["busy"] = Load.of([RankLoad(0, 1, 500, tokens, 1)])
         world.others["idle"] = Load.of([RankLoad(0, 1, 3000, 0, waiting=1)])
--- a/tests/passthrough/test_fleet.py
+++ b/tests/passthrough/test_fleet.py
@@ -7,7 +7,7 @@
 from burdockdrum.registrations import RankLoad
 from burdockdrum.registrations import RegistrationState
 from burdockdrum.resources import Backend
-from tests.passthrough.fakes import FleetWorld
+from tests.passthrough.fakes import FleetHarness
 from tests.passthrough.fakes import make_endpoint
 from tests.passthrough.fakes import make_prompt
 from tests.passthrough.fakes import MODEL
@@ -22,7 +22,7 @@
     def test_short_request_avoids_a_long_prompt_of_another_entry(self):
         # Guards against queueing behind a long prompt that another entry VM
         # has just sent to one of the endpoints.
-        world = FleetWorld("a", "b", "c")
+        world = FleetHarness("a", "b", "c")
         world.others["a"] = Load.of([RankLoad(1, 1, 57_000, waiting=1)])
         chosen = {
             world.choose(make_prompt(1000)).endpoint.endpoint_id
@@ -33,7 +33,7 @@
     def test_long_prompt_counts_by_its_prefill_time(self):
         # Guards against underestimating the queue behind a long prompt, whose
         # prefill time grows with the square of its tokens.
-        world = FleetWorld("a")
+        world = FleetHarness("a")
         long = world.send(make_prompt(64_000))
         expected = world.choose(make_prompt(100)).wait.queue
         engines = world.fleet.engines
@@ -45,7 +45,7 @@
         self.assertGreater(expected, 1.6 * short)
 
     def test_requests_spread_over_idle_endpoints(self):
-        world = FleetWorld("a", "b", "c", "d")
+        world = FleetHarness("a", "b", "c", "d")
         placed = [
             world.send(make_prompt(1000 + n)).endpoint.endpoint_id
             for n in range(12)
@@ -55,7 +55,7 @@
     def test_unreported_load_of_other_entries_is_extrapolated(self):
         # Guards against overload right after a start, when 27 other entry VMs
         # send similar requests but have not reported any load yet.
-        world = FleetWorld("a", "b")
+        world = FleetHarness("a", "b")
         alone = [world.send(make_prompt(6000)) for _ in range(4)]
         self.assertEqual(4, len(alone))
         short = world.choose(make_prompt(6000)).wait.queue
@@ -70,7 +70,7 @@
         shared = (("head", 500), ("plan-7", 4900))
         chosen = set()
         for seed in range(3):
-            world = FleetWorld("a", "b", "c", "d", "e", seed=seed)
+            world = FleetHarness("a", "b", "c", "d", "e", seed=seed)
             in_flight_request = world.send(make_prompt(6600, *shared), rank=1)
             chosen.add(in_flight_request.endpoint.endpoint_id)
         self.assertEqual(1, len(chosen))
@@ -78,7 +78,7 @@
     def test_busy_holder_of_a_prefix_is_avoided(self):
         # Guards against waiting for an overloaded endpoint only because it
         # has the prefix cached.
-        world = FleetWorld("a", "b")
+        world = FleetHarness("a", "b")
         prompt = make_prompt(6600, ("plan-7", 5000))
         home = world.choose(prompt).endpoint.endpoint_id
         world.others[home] = Load.of([RankLoad(0, 3, 85_000)])
@@ -88,7 +88,7 @@
     def test_long_body_stays_in_its_data_centre_if_not_slower(self):
         # Guards against paying for traffic to another data centre without
         # getting a faster response.
-        world = FleetWorld("a", "b", crossing_seconds=1.5)
+        world = FleetHarness("a", "b", crossing_seconds=1.5)
         for name in ("c", "d"):
             world.endpoints[name] = make_endpoint(name, data_centre="beside")
         chosen = {
@@ -102,7 +102,7 @@
     def test_short_requests_stay_local_despite_stale_loads(self):
         # Guards against spreading work over both data centres because of
         # stale load reports, while the local one has free capacity.
-        world = FleetWorld("a", "b", crossing_seconds=4.0)
+        world = FleetHarness("a", "b", crossing_seconds=4.0)
         for name in ("c", "d"):
             world.endpoints[name] = make_endpoint(name, data_centre="beside")
         world.lag = 0.5
@@ -118,7 +118,7 @@
     def test_body_crosses_to_a_faster_data_centre(self):
         # Guards against queueing a second at local endpoints to save traffic
         # that is worth 0.05 s.
-        world = FleetWorld("a", "b", crossing_seconds=1.5)
+        world = FleetHarness("a", "b", crossing_seconds=1.5)
         world.endpoints["c"] = make_endpoint("c", data_centre="beside")
         for name in ("a", "b"):
             world.others[name] = Load.of([RankLoad(0, 1, 57_000, waiting=1)])
@@ -126,7 +126,7 @@
         self.assertEqual("c", choice.endpoint.endpoint_id)
 
     def test_ineligible_endpoints_are_never_chosen(self):
-        world = FleetWorld("ok")
+        world = FleetHarness("ok")
         away = {
             "leaving": {"state": RegistrationState.LEAVING},
             "elsewhere": {"data_centre": "closed"},
@@ -143,7 +143,7 @@
             self.assertEqual("ok", choice.endpoint.endpoint_id)
 
     def test_endpoint_without_heartbeats_is_the_last_choice(self):
-        world = FleetWorld("a", "quiet")
+        world = FleetHarness("a", "quiet")
         quiet = world.endpoints["quiet"]
         world.endpoints["quiet"] = dataclasses.replace(
             quiet, state=RegistrationState.SILENT
@@ -170,7 +170,7 @@
     def test_failing_endpoint_is_ejected_and_probed(self):
         # Guards against an endpoint that fails fast attracting all requests,
         # as it looks idle. After its ejection it gets one probe at a time.
-        world = FleetWorld("bad", "good")
+        world = FleetHarness("bad", "good")
         for _ in range(3):
             world.send(make_prompt(10))
         health = world.fleet.health_of(world.endpoints["bad"])
@@ -192,7 +192,7 @@
     def test_ejected_endpoints_are_used_if_all_are_ejected(self):
         # Guards against refusing all requests because every endpoint has
         # been ejected.
-        world = FleetWorld("a", "b")
+        world = FleetHarness("a", "b")
         for name in "ab":
             self.record_failures(world, name, 8)
         choice = world.choose(make_prompt(10))
@@ -202,7 +202,7 @@
     def test_stalled_endpoint_is_avoided(self):
         # Guards against sending to an endpoint that lost its power until the
         # kernel reports an error, which takes seconds.
-        world = FleetWorld("dark", "good")
+        world = FleetHarness("dark", "good")
         for _ in range(20):
             in_flight_request = world.send(make_prompt(0), backend=PLAIN_MODEL)
             if in_flight_request.endpoint.endpoint_id == "dark":
@@ -216,20 +216,20 @@
             world.fleet.record_end(in_flight_request, PLAIN_MODEL, whole=True)
 
     def test_endpoint_is_skipped_after_a_failed_connect(self):
-        world = FleetWorld("a")
+        world = FleetHarness("a")
         self.record_failures(world, "a", 1, method="record_unreachable")
         self.assertIsNone(world.choose(make_prompt(10)))
         world.clock.now += 1.1
         self.assertIsNotNone(world.choose(make_prompt(10)))
 
     def test_broken_connections_count_double(self):
-        world = FleetWorld("a")
+        world = FleetHarness("a")
         health = self.record_failures(world, "a", 3, method="record_loss")
         self.assertTrue(health.is_ejected(world.clock.now))
 
     def test_low_failure_rate_does_not_eject(self):
         # Guards against ejecting endpoints for a constant low failure rate.
-        world = FleetWorld("a")
+        world = FleetHarness("a")
         health = world.fleet.health_of(world.endpoints["a"])
         world.send(make_prompt(10))
         for number in range(700):
@@ -240,7 +240,7 @@
             self.assertIsNotNone(world.choose(make_prompt(10)))
 
     def test_load_returns_to_zero(self):
-        world = FleetWorld("a")
+        world = FleetHarness("a")
         in_flight_requests = [
             world.send(make_prompt(100 + n)) for n in range(5)
         ]
@@ -269,7 +269,7 @@
                 self.assertLessEqual(self.busiest_second(entries), 7)
 
     def busiest_second(self, entries):
-        worlds = [FleetWorld("cold", seed=n) for n in range(entries)]
+        worlds = [FleetHarness("cold", seed=n) for n in range(entries)]
         for world in worlds:
             world.fleet.entries = entries
             world.endpoints["cold"] = make_endpoint("cold", cold_until=200.0)
@@ -287,13 +287,13 @@
         )
 
     def test_endpoint_after_slow_start_is_unlimited(self):
-        world = FleetWorld("a")
+        world = FleetHarness("a")
         for _ in range(20):
             self.assertIsNotNone(world.choose(make_prompt(10)))
             world.send(make_prompt(10), backend=MODEL)
 
     def test_plain_service_needs_no_prompt(self):
-        world = FleetWorld()
+        world = FleetHarness()
         world.endpoints["p"] = make_endpoint("p", service="plain")
         choice = world.choose(make_prompt(0), backend=PLAIN)
         self.assertEqual(0.0, choice.wait.total)
--- a/tests/passthrough/test_limits.py
+++ b/tests/passthrough/test_limits.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies
 
 from burdockdrum.passthrough.limits import RetryBudget
-from tests.passthrough.fakes import SteppedClock
+from tests.passthrough.fakes import ManualClock
 
 RATIO = 0.2
 BURST = 54.0
@@ -35,7 +35,7 @@
     ):
         # Guards against retries that exceed the limit in total while entry
         # VMs disagree on how many of them there are.
-        clock = SteppedClock()
+        clock = ManualClock()
         budgets = [
             self.make(clock, max(1, round(entries * seen[n])))
             for n in range(entries)
@@ -55,12 +55,12 @@
             self.assertLessEqual(sent, RATIO * asked + BURST)
 
     def test_single_failure_can_always_be_retried(self):
-        budget = self.make(SteppedClock(), entries=7)
+        budget = self.make(ManualClock(), entries=7)
         budget.deposit("s")
         self.assertTrue(budget.try_withdraw("s"))
 
     def test_services_have_separate_budgets(self):
-        budget = self.make(SteppedClock(), entries=1)
+        budget = self.make(ManualClock(), entries=1)
         while budget.try_withdraw("a"):
             pass
         self.assertTrue(budget.try_withdraw("b"))
--- a/tests/passthrough/test_regions.py
+++ b/tests/passthrough/test_regions.py
@@ -18,7 +18,7 @@
 from burdockdrum.registrations import Load
 from burdockdrum.registrations import RankLoad
 from burdockdrum.registrations import ServiceRoom
-from tests.passthrough.fakes import FleetWorld
+from tests.passthrough.fakes import FleetHarness
 from tests.passthrough.fakes import make_prompt
 from tests.passthrough.fakes import make_route
 from tests.passthrough.fakes import MODEL
@@ -38,7 +38,7 @@
     """Which requests are forwarded to another region."""
 
     def setUp(self):
-        self.world = FleetWorld("a")
+        self.world = FleetHarness("a")
         self.prefill_token_seconds = (
             self.world.fleet.engines.prefill_token_seconds("model")
         )
--- a/tests/passthrough/test_relay.py
+++ b/tests/passthrough/test_relay.py
@@ -119,7 +119,7 @@
         self.assertEqual(b"why", body)
         self.assertEqual(2, sum(len(e.seen) for e in endpoints))
 
-    async def test_answers_that_are_not_the_endpoints_reach_nobody(self):
+    async def test_response_not_from_the_endpoint_is_not_forwarded(self):
         # HARD CASE 6: no provenance header, the id of another request, a
         # malformed response, an unrequested content coding.
         async def crossed(writer, request_id):
@@ -160,7 +160,7 @@
         self.assertEqual(504, status)
         self.assertLess(time.monotonic() - started_at, 0.6)
 
-    async def test_dark_endpoint_costs_a_repeatable_request_little(self):
+    async def test_idempotent_request_is_retried_after_power_loss(self):
         # The endpoint loses power and its connection stays open. Guards
         # against waiting for the deadline instead of retrying.
         shared = [never_respond, answer(b"ran")]
--- a/tests/passthrough/test_relay_hops.py
+++ b/tests/passthrough/test_relay_hops.py
@@ -88,7 +88,7 @@
             connection._transport.abort()
         self.assertEqual(502, (await task)[0])
 
-    async def test_homes_are_kept_to(self):
+    async def test_request_stays_in_allowed_regions(self):
         # HARD CASE 10: the route excludes the entry's own region, then every
         # region with free capacity.
         here, there = Endpoint(answer(b"here")), Endpoint(answer(b"there"))
@@ -104,7 +104,7 @@
         )
         self.assertEqual(503, (await entry.call())[0])
 
-    async def test_old_report_of_a_full_region_refuses_nothing(self):
+    async def test_outdated_report_of_a_full_region_refuses_nothing(self):
         # Guards against refusing a request because of an outdated report
         # that the only region with an endpoint is full.
         there = Endpoint(answer(b"far"))
@@ -117,7 +117,7 @@
         # The run time is learned from responses of the other region.
         self.assertLess(entry.fleet.run_seconds("model"), 0.25)
 
-    async def test_request_is_passed_on_once_only(self):
+    async def test_request_is_forwarded_at_most_once(self):
         # HARD CASE 11: two regions each believe that the other has free
         # capacity. Guards against a forwarding loop.
         entry = await self.open_two()
--- a/tests/passthrough/test_relay_streams.py
+++ b/tests/passthrough/test_relay_streams.py
@@ -123,7 +123,7 @@
         self.assertEqual((200, True), (status, is_complete))
         self.assertEqual(b"".join(event(n) for n in range(1, 4)), data)
 
-    async def test_endpoint_stops_when_the_caller_goes(self):
+    async def test_attempt_is_cancelled_when_the_caller_disconnects(self):
         # HARD CASE 7: a disconnected caller must leave no work behind.
         endpoint = Endpoint(never_respond)
         entry = await self.open(endpoint, **self.ROUTE)
--- a/tests/passthrough/test_restarts.py
+++ b/tests/passthrough/test_restarts.py
@@ -11,7 +11,7 @@
 from tests.passthrough.entries import Endpoint
 from tests.passthrough.entries import never_respond
 from tests.passthrough.entries import RelayCase
-from tests.passthrough.fakes import FleetWorld
+from tests.passthrough.fakes import FleetHarness
 from tests.passthrough.fakes import make_endpoint
 from tests.passthrough.fakes import make_prompt
 from tests.passthrough.fakes import MODEL
@@ -31,7 +31,7 @@
     """The state of an endpoint across its restarts."""
 
     def setUp(self):
-        self.world = FleetWorld()
+        self.world = FleetHarness()
         self.replace_endpoint(make_start(1000))
 
     def replace_endpoint(self, endpoint):
@@ -68,7 +68,7 @@
     MODEL = msgspec.structs.replace(MODEL, cold_seconds=SLOW_START_SECONDS)
 
     def setUp(self):
-        self.world = FleetWorld()
+        self.world = FleetHarness()
         endpoint = make_start(1000)
         self.world.endpoints[endpoint.endpoint_id] = endpoint
         self.health = self.world.fleet._state_of(endpoint).health
--- a/tests/passthrough/test_table.py
+++ b/tests/passthrough/test_table.py
@@ -21,7 +21,7 @@
 from tests.callers.fakes import make_finder
 from tests.callers.fakes import make_meter
 from tests.passthrough.fakes import make_route
-from tests.passthrough.fakes import SteppedClock
+from tests.passthrough.fakes import ManualClock
 
 
 def make_index(*routes):
@@ -69,7 +69,7 @@
     """Requests of callers and of other entries."""
 
     def setUp(self):
-        self.clock = SteppedClock()
+        self.clock = ManualClock()
         self.index = make_index(make_route(timeout_seconds=5.0, attempts=3))
         self.configuration = FakeConfiguration(age=0.5)
 
--- a/tests/passthrough/test_target_selection.py
+++ b/tests/passthrough/test_target_selection.py
@@ -14,7 +14,7 @@
 from burdockdrum.settings import MechanismSettings
 from burdockdrum.verdicts import Refusal
 from burdockdrum.verdicts import Verdict
-from tests.passthrough.fakes import FleetWorld
+from tests.passthrough.fakes import FleetHarness
 from tests.passthrough.fakes import make_prompt
 from tests.passthrough.fakes import make_route
 from tests.passthrough.fakes import MODEL
@@ -28,7 +28,7 @@
     """
 
     def setUp(self):
-        self.world = FleetWorld("a")
+        self.world = FleetHarness("a")
         self.prefill_token_seconds = (
             self.world.fleet.engines.prefill_token_seconds("model")
         )
--- a/tests/passthrough/test_warmth.py
+++ b/tests/passthrough/test_warmth.py
@@ -14,7 +14,7 @@
 from burdockdrum.passthrough.prefixes import transfer_seconds
 from burdockdrum.registrations import Load
 from burdockdrum.registrations import RankLoad
-from tests.passthrough.fakes import FleetWorld
+from tests.passthrough.fakes import FleetHarness
 from tests.passthrough.fakes import make_prompt
 from tests.passthrough.fakes import MODEL
 from tests.passthrough.fakes import PLAIN
@@ -44,7 +44,7 @@
     )
 
 
-class WarmthTest(unittest.TestCase):
+class PrefixCacheViewTest(unittest.TestCase):
     """Estimates for endpoints that don't report their cache."""
 
     def setUp(self):
@@ -95,7 +95,7 @@
         self.assertIsNone(self.find(self.view, prompt))
 
 
-class ToldTest(WarmthTest):
+class ReportedCacheTest(PrefixCacheViewTest):
     """Estimates for endpoints that report their cache."""
 
     def setUp(self):
@@ -164,7 +164,7 @@
         self.assertIsNone(holder)
 
 
-class HomeTest(unittest.TestCase):
+class PrefixHashingTest(unittest.TestCase):
     """The endpoint that computes a prefix that is not cached."""
 
     def penalties(self, world):
@@ -178,7 +178,7 @@
     def test_no_endpoint_is_preferred_with_fresh_reports(self):
         # No endpoint reports the prefix, so the least loaded one may compute
         # it. Guards against overloading the one chosen by a hash.
-        world = FleetWorld("a", "b", "c")
+        world = FleetHarness("a", "b", "c")
         for name in "abc":
             report_cache(world.prefix_cache_table, name, other=5000)
         self.assertEqual({0.0}, set(self.penalties(world).values()))
@@ -186,7 +186,7 @@
     def test_late_reports_keep_a_prefix_to_one_endpoint(self):
         # Guards against computing the same prefix at many endpoints, as
         # concurrent entries learn of each other's choices too late.
-        world = FleetWorld("a", "b", "c")
+        world = FleetHarness("a", "b", "c")
         for name in "abc":
             report_cache(world.prefix_cache_table, name, other=5000)
         prompt = make_prompt(7000, *SHARED)
@@ -202,7 +202,7 @@
     """The choice of endpoint and fetch for a cached prefix."""
 
     def setUp(self):
-        self.world = FleetWorld("a", "b", "c")
+        self.world = FleetHarness("a", "b", "c")
         self.prompt = make_prompt(6600, *SHARED)
 
     def hold(self, endpoint_id):
@@ -231,8 +231,8 @@
         # This entry failed to connect to the holder. Guards against a fetch
         # that blocks the request and those behind it.
         self.hold("b")
-        track = self.world.fleet._state_of(self.world.endpoints["b"])
-        track.health.record_unreachable(self.world.clock.now)
+        state = self.world.fleet._state_of(self.world.endpoints["b"])
+        state.health.record_unreachable(self.world.clock.now)
         choice = self.world.choose(make_prompt(7000, *SHARED), rank=1)
         self.assertIsNone(choice.fetch_from)
 
--- a/tests/platform/test_faces.py
+++ b/tests/platform/test_faces.py
@@ -25,7 +25,7 @@
 from burdockdrum.resources import ResourceStore  # noqa: E402
 from burdockdrum.vms import VmView  # noqa: E402
 from tests.http1.wire import ListenerCase  # noqa: E402
-from tests.passthrough.fakes import SteppedClock  # noqa: E402
+from tests.passthrough.fakes import ManualClock  # noqa: E402
 from tests.platform.test_boot import CheckInTest  # noqa: E402
 from tests.platform.test_boot import DOCUMENT  # noqa: E402
 
@@ -60,7 +60,7 @@
         logger.disable("adapter")
         self.configuration = Configuration()
         operators = OperatorCalls(configuration=self.configuration)
-        self.book = RegistrationBook(clock=SteppedClock())
+        self.book = RegistrationBook(clock=ManualClock())
         runners = RunnerCalls(book=self.book)
         self.views = []
         directory = DirectoryCalls(
--- a/tests/quotas/test_meter.py
+++ b/tests/quotas/test_meter.py
@@ -15,14 +15,14 @@
 from tests.callers.fakes import make_finder
 from tests.callers.fakes import make_meter
 from tests.callers.fakes import make_team
-from tests.passthrough.fakes import SteppedClock
+from tests.passthrough.fakes import ManualClock
 
 
 class MeterTest(unittest.TestCase):
     """One VM and a team with a limit of 1,000 tokens per second."""
 
     def setUp(self):
-        self.clock = SteppedClock()
+        self.clock = ManualClock()
         self.sharing = FakeUsageSharing()
         self.configuration = FakeConfiguration()
         self.finder = make_finder(self.configuration)
