--- a/tests/passthrough/test_relay.py
+++ b/tests/passthrough/test_relay.py
@@ -119,7 +119,7 @@
         self.assertEqual(b"why", body)
         self.assertEqual(2, sum(len(e.seen) for e in endpoints))
 
-    async def test_answers_that_are_not_the_endpoints_reach_nobody(self):
+    async def test_response_not_from_the_endpoint_is_not_forwarded(self):
         # HARD CASE 6: no provenance header, the id of another request, a
         # malformed response, an unrequested content coding.
         async def crossed(writer, request_id):
@@ -160,13 +160,13 @@
         self.assertEqual(504, status)
         self.assertLess(time.monotonic() - started_at, 0.6)
 
-    async def test_dark_endpoint_costs_a_repeatable_request_little(self):
+    async def test_idempotent_request_is_retried_after_power_loss(self):
         # The endpoint loses power and its connection stays open. Guards
         # against waiting for the deadline instead of retrying.
         shared = [never_respond, answer(b"ran")]
         endpoints = [Endpoint(never_respond), Endpoint(never_respond)]
         entry = await self.open(*endpoints, attempts=2)
-        entry.fleet._learning._run_seconds_by_service["model"] = 0.03
+        entry.fleet._timings._run_seconds_by_service["model"] = 0.03
         for endpoint in endpoints:
             endpoint.behaviours = shared
         started_at = time.monotonic()
@@ -183,7 +183,7 @@
 
         endpoint = Endpoint(respond_late)
         entry = await self.open(endpoint, attempts=2)
-        entry.fleet._learning._run_seconds_by_service["model"] = 0.03
+        entry.fleet._timings._run_seconds_by_service["model"] = 0.03
         status, _, body = await entry.call()
         self.assertEqual((200, b"ran"), (status, body))
         self.assertEqual(1, len(endpoint.seen))
@@ -192,7 +192,7 @@
         entry = await self.open(
             Endpoint(never_respond), Endpoint(answer()), idempotent=False
         )
-        entry.fleet._learning._run_seconds_by_service["model"] = 0.03
+        entry.fleet._timings._run_seconds_by_service["model"] = 0.03
         codes = set()
         for _ in range(6):
             codes.add((await entry.call(b"X-Deadline-Ms: 700"))[0])
