--- a/tests/consensus/test_histories.py
+++ b/tests/consensus/test_histories.py
@@ -1,4 +1,4 @@
-"""Random histories, and proof that their checks can fail."""
+"""Random histories, and tests that their checks can fail."""
 
 import asyncio
 import unittest
@@ -14,8 +14,8 @@
 from burdockdrum.consensus.interface import LogSettings
 from burdockdrum.consensus.leadership import Leadership
 from burdockdrum.consensus.records import FORMAT_VERSION
+from burdockdrum.consensus.rollback_detection import RollbackDetector
 from burdockdrum.consensus.storage import Storage
-from burdockdrum.consensus.witness import Witness
 from burdockdrum.testing import run_virtual
 from tests.consensus.checker import History
 from tests.consensus.checker import Operation
@@ -32,7 +32,7 @@
 
 
 async def write(history, log, command):
-    """Propose a command and note what came of it."""
+    """Propose a command and record the operation."""
     loop = asyncio.get_running_loop()
     operation = Operation(command=command, began=loop.time())
     history.operations.append(operation)
@@ -42,16 +42,15 @@
 
 
 class HistoryTest(unittest.TestCase):
-    """Nothing acknowledged is lost, misplaced or read stale."""
+    """No acknowledged command is lost, reordered or missed by a read."""
 
     def setUp(self):
         logger.disable("burdockdrum")
         self.addCleanup(logger.enable, "burdockdrum")
 
     def test_three_members(self):
-        # Four clients write and read while members crash, lose power, lose
-        # their disks, are cut off both ways or one way and are replaced.
-        # Whatever a client was told must hold at the end.
+        # Clients write and read while members crash, lose power or disks,
+        # are partitioned and replaced.
         acknowledged = 0
         for seed in SEEDS_OF_THREE:
             with self.subTest(seed=seed):
@@ -64,21 +63,16 @@
             with self.subTest(seed=seed):
                 run_history(Plan(seed=seed, size=5, seconds=6.0))
 
-    def test_seeds_that_showed_a_fault(self):
-        # 1175: a member came back knowing a configuration whose members were
-        # all replaced meanwhile, waited for answers from disks that were
-        # gone, and so never took part again.
-        # 6055: a learner was made a voter and lost power before it heard so.
-        # Another VM's disk was lost; the learner waited for a leader before
-        # it voted, and so none could be elected.
-        # 30059, 30138: a member restarted that had not heard of a replaced
-        # one, and the only other that it knew lost its disk. It waited to be
-        # told by that one what it had seen, and its vote was needed.
-        # 40361: the network doubled a command on its way to the leader. The
-        # first copy went into the log; then the leader's disk failed, and it
-        # answered the second copy with a refusal.
-        # 60056: a command that was passed on was lost on its way, and its
-        # caller waited its whole time for the answer.
+    def test_regression_seeds(self):
+        # 1175: a restarted member knew only members that had been replaced,
+        # and waited for their replies forever.
+        # 6055: a learner that did not know of its promotion waited for a
+        # leader before voting, while its vote was needed.
+        # 30059, 30138: a restarted member, whose vote was needed, waited for
+        # a reply for a lost disk.
+        # 40361: a leader rejected the duplicate of a command that was in the
+        # log already.
+        # 60056: a lost forwarded command cost the caller its whole timeout.
         for plan in (
             Plan(seed=1175, size=5),
             Plan(seed=6055),
@@ -106,7 +100,7 @@
 
 
 class CheckerTest(unittest.TestCase):
-    """The checks fail when the log is made wrong on purpose."""
+    """The checks detect faults put into the log on purpose."""
 
     def setUp(self):
         logger.disable("burdockdrum")
@@ -129,8 +123,8 @@
         self.assertIn(expected, repr(caught.exception))
 
     def test_acknowledging_before_the_sync_is_caught(self):
-        # Storage that says "synced" at once loses, with the power of all
-        # members, what clients were told is kept.
+        # Storage that reports a sync at once loses acknowledged commands
+        # when all members lose power.
         async def sync_later(self):
             return
 
@@ -155,9 +149,9 @@
 
         self.assert_caught(scenario, "lost at the end")
 
-    def test_a_lease_longer_than_the_promise_is_caught(self):
-        # A leader that trusts its lease for longer than followers keep
-        # silent, and does not step down, still leads when the next one does.
+    def test_lease_longer_than_the_election_timeout_is_caught(self):
+        # With a lease longer than the election timeout, a leader that does
+        # not step down overlaps with the next one.
         async def watch_nothing(self):
             return
 
@@ -172,7 +166,7 @@
             old = await cluster.leader()
             cluster.cut_off(cluster.vm_of(old).vm_id)
             await asyncio.sleep(10)
-            history.note_leases(
+            history.check_leases(
                 [
                     cluster.vm_of(log).vm_id
                     for log in cluster.logs
@@ -183,8 +177,8 @@
         self.assert_caught(scenario, "leases held at once")
 
     def test_voting_after_a_wipe_is_caught(self):
-        # An emptied VM that takes itself for the member it was, and counts
-        # at once, lets a quorum forget what was acknowledged.
+        # An emptied VM that votes as its former member makes a quorum lose
+        # acknowledged commands.
         begun = set()
 
         async def begin(cls, disk, vm_id, rng):
@@ -203,12 +197,12 @@
         async def admit(self):
             self._replica.admitted = True
 
-        honest = IdentityFile._begin
-        honest_run = Witness.run
-        IdentityFile._begin = classmethod(begin)
-        Witness.run = admit
-        self.addCleanup(setattr, IdentityFile, "_begin", honest)
-        self.addCleanup(setattr, Witness, "run", honest_run)
+        honest = IdentityFile._create
+        honest_run = RollbackDetector.run
+        IdentityFile._create = classmethod(begin)
+        RollbackDetector.run = admit
+        self.addCleanup(setattr, IdentityFile, "_create", honest)
+        self.addCleanup(setattr, RollbackDetector, "run", honest_run)
 
         async def scenario(cluster, history):
             leader = await cluster.leader()
@@ -226,7 +220,7 @@
 
         self.assert_caught(scenario, "lost at the end")
 
-    def test_a_lost_and_a_stale_answer_are_caught(self):
+    def test_lost_command_and_stale_read_are_caught(self):
         kept = Operation(command=b"x", began=1, ended=2, index=5)
         with self.assertRaises(Violation):
             History(operations=[kept]).check()
@@ -237,7 +231,7 @@
         with self.assertRaises(Violation):
             history.check()
 
-    def test_a_refused_command_that_is_applied_is_caught(self):
+    def test_applied_command_that_was_refused_is_caught(self):
         refused = Operation(command=b"x", began=1, refused=True)
         history = History(operations=[refused], commands_by_index={3: b"x"})
         with self.assertRaises(Violation):
--- a/tests/consensus/test_log.py
+++ b/tests/consensus/test_log.py
@@ -1,4 +1,4 @@
-"""Tests of the log's everyday work."""
+"""Tests of the log in normal operation."""
 
 import asyncio
 import unittest
@@ -13,7 +13,7 @@
 class ReplicatedLogTest(unittest.TestCase):
     """Proposing and reading without failures."""
 
-    def test_every_size_applies_on_all_members(self):
+    def test_commands_apply_on_all_members(self):
         async def use(cluster):
             await cluster.leader()
             for number in range(10):
@@ -44,9 +44,9 @@
 
         run_virtual(with_cluster(Cluster(size=1), use))
 
-    def test_leader_without_a_quorum_takes_a_bounded_number(self):
-        # The others are cut off. What the leader takes meanwhile waits in
-        # memory; beyond a bound it refuses, and that is final.
+    def test_leader_without_a_quorum_bounds_uncommitted_entries(self):
+        # Uncommitted entries are kept in memory; beyond the limit, commands
+        # are rejected for good.
         async def use(cluster):
             leader = await cluster.leader()
             cluster.cut_off(cluster.vm_of(leader).vm_id)
@@ -62,24 +62,24 @@
         settings = {"max_uncommitted_entries": 5}
         run_virtual(with_cluster(Cluster(size=3, **settings), use))
 
-    def test_member_catches_up_on_megabytes(self):
+    def test_member_catches_up_on_a_large_log(self):
         async def use(cluster):
             leader = await cluster.leader()
-            away = next(
+            stopped_id = next(
                 vm.vm_id for vm in cluster.vms.values() if vm.log != leader
             )
-            await cluster.stop(away)
+            await cluster.stop(stopped_id)
             for _ in range(30):
                 await leader.propose(bytes(200_000), timeout=5)
             cluster.network.set_default(delay=0.055)
-            await cluster.start(away)
+            await cluster.start(stopped_id)
             await cluster.settle()
-            self.assertEqual(30, len(cluster.vms[away].machine.commands))
+            self.assertEqual(30, len(cluster.vms[stopped_id].machine.commands))
 
         settings = {"snapshot_every_bytes": 100_000_000}
         run_virtual(with_cluster(Cluster(size=3, **settings), use))
 
-    def test_listener_hears_of_each_index(self):
+    def test_listener_is_called_with_each_index(self):
         async def use(cluster):
             leader = await cluster.leader()
             seen = []
--- a/tests/consensus/test_membership.py
+++ b/tests/consensus/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of founding, and of VMs that are emptied, added and removed."""
+"""Tests of bootstrapping and of changing members."""
 
 import asyncio
 import unittest
@@ -13,10 +13,10 @@
 
 
 async def replace(cluster, vm_id):
-    """Remove a member and add its VM again with the disk that it has."""
+    """Remove a member and add its VM again with its current disk."""
     leader = await cluster.leader()
     vm = cluster.vms[vm_id]
-    # Through a follower, which passes the changes on.
+    # Through a follower, which forwards the changes.
     other = next(log for log in cluster.logs if log not in (leader, vm.log))
     await other.remove_member(vm_id)
     await other.add_member(vm_id, vm.address, vm.running.disk_id)
@@ -27,7 +27,7 @@
 
 
 async def stop_follower(cluster, leader, *, wipe=False):
-    """Stop one member that does not lead and return it."""
+    """Stop one member that is not the leader and return it."""
     vm = next(v for v in cluster.vms.values() if v.log is not leader)
     await cluster.stop(vm.vm_id)
     if wipe:
@@ -36,7 +36,7 @@
 
 
 class FoundingTest(unittest.TestCase):
-    """The first configuration."""
+    """Agreement on the first configuration."""
 
     def setUp(self):
         logger.disable("burdockdrum")
@@ -58,9 +58,9 @@
 
         run_virtual(main())
 
-    def test_crash_at_any_moment_of_the_founding(self):
-        # One founder after the other loses its power while the promises are
-        # being given. The cluster is founded once, with the disks there are.
+    def test_power_loss_during_the_bootstrap(self):
+        # Founders lose power while they accept the first configuration. The
+        # cluster must still form, once.
         async def main(seed):
             cluster = Cluster(seed=seed)
             cluster.network.set_default(delay=0.05, loss=0.2)
@@ -77,9 +77,9 @@
             with self.subTest(seed=seed):
                 run_virtual(main(seed))
 
-    def test_emptied_founders_found_no_second_cluster(self):
-        # The founder that proposes, or two of three, lose their disks. They
-        # don't form a cluster that has forgotten everything.
+    def test_emptied_founders_form_no_second_cluster(self):
+        # Two of three founders, with the proposing one, lose their disks.
+        # They must not form a new, empty cluster.
         async def use(cluster):
             leader = await cluster.leader()
             await leader.propose(b"kept", timeout=5)
@@ -105,10 +105,9 @@
         logger.disable("burdockdrum")
         self.addCleanup(logger.enable, "burdockdrum")
 
-    def test_emptied_member_does_not_vote_as_it_was(self):
-        # A command is accepted by the leader and b, while c is down. b comes
-        # back empty and the leader is gone: b and c must not elect a leader,
-        # for neither holds the command.
+    def test_emptied_member_does_not_vote(self):
+        # The leader and b have a command, c is down. After b has lost its
+        # disk, b and c must not elect a leader, as neither has the command.
         async def use(cluster):
             leader = await cluster.leader()
             c = await stop_follower(cluster, leader)
@@ -132,10 +131,9 @@
 
         run_virtual(with_cluster(Cluster(), use))
 
-    def test_second_loss_right_after_a_repair_loses_nothing(self):
-        # b loses its disk and is added again. The moment it counts, another
-        # VM loses its disk too. Everything accepted is still there, also
-        # what was accepted while b was catching up.
+    def test_second_disk_loss_right_after_a_repair(self):
+        # A member loses its disk and is added again. As soon as it is a
+        # voter, another VM loses its disk. No acknowledged command is lost.
         async def use(cluster):
             leader = await cluster.leader()
             kept = []
@@ -169,7 +167,7 @@
             with self.subTest(seed=seed):
                 run_virtual(with_cluster(Cluster(seed=seed, **settings), use))
 
-    def test_learner_that_is_cut_off_counts_for_nothing(self):
+    def test_unreachable_learner_is_in_no_quorum(self):
         async def use(cluster):
             leader = await cluster.leader()
             new = cluster.add_vm()
@@ -210,7 +208,7 @@
 
         run_virtual(with_cluster(Cluster(), use))
 
-    def test_other_disk_is_refused_until_the_old_one_is_removed(self):
+    def test_new_disk_is_rejected_until_the_old_one_is_removed(self):
         async def use(cluster):
             leader = await cluster.leader()
             vm = await stop_follower(cluster, leader, wipe=True)
--- a/tests/consensus/test_partitions.py
+++ b/tests/consensus/test_partitions.py
@@ -1,4 +1,4 @@
-"""Tests of silent cuts, one-way cuts and messages that go astray."""
+"""Tests of partitions and of lost, delayed or duplicated messages."""
 
 import asyncio
 import unittest
@@ -14,17 +14,16 @@
 
 
 class PartitionTest(unittest.TestCase):
-    """What the two sides of a cut do."""
+    """Behaviour on both sides of a partition."""
 
     def setUp(self):
         logger.disable("burdockdrum")
         self.addCleanup(logger.enable, "burdockdrum")
 
-    def test_isolated_leader_stops_claiming_within_its_lease(self):
-        # Packets to and from the leader vanish without a reset. It stops
-        # claiming to lead within its lease, before another is elected;
-        # writes there end unknown and reads are refused. On return it
-        # follows, and the term stays as it is.
+    def test_isolated_leader_stops_within_its_lease(self):
+        # Packets to and from the leader are dropped. It must stop serving
+        # reads before another leader is elected, and must not depose that
+        # one when it returns.
         async def use(cluster):
             old = await cluster.leader()
             await old.propose(b"before", timeout=5)
@@ -51,9 +50,9 @@
 
         run_virtual(with_cluster(Cluster(), use))
 
-    def test_lost_message_does_not_cost_the_whole_time(self):
-        # A command that a follower passes on is lost on its way. It is sent
-        # again within a second, and applied once.
+    def test_lost_forwarded_command_is_resent(self):
+        # A lost message must not cost the caller its whole timeout, and the
+        # command is applied once.
         async def use(cluster):
             leader = await cluster.leader()
             await cluster.settle()
@@ -69,7 +68,7 @@
 
         run_virtual(with_cluster(Cluster(), use))
 
-    def test_write_on_an_isolated_leader_is_not_called_refused(self):
+    def test_write_on_an_isolated_leader_has_unknown_outcome(self):
         async def use(cluster):
             old = await cluster.leader()
             cluster.cut_off(cluster.vm_of(old).vm_id)
@@ -78,10 +77,9 @@
 
         run_virtual(with_cluster(Cluster(), use))
 
-    def test_leader_that_hears_nobody_makes_way(self):
-        # Heartbeats leave, but no answer comes back. The followers keep
-        # their promise as long as they hear it, so it must step down itself
-        # for a leader that can commit to be elected.
+    def test_leader_without_replies_steps_down(self):
+        # Heartbeats arrive, but no replies come back. The followers elect
+        # no other leader until this one steps down.
         async def use(cluster):
             old = await cluster.leader()
             vm_id = cluster.vm_of(old).vm_id
@@ -95,9 +93,9 @@
 
         run_virtual(with_cluster(Cluster(), use))
 
-    def test_member_that_hears_nobody_deposes_nobody(self):
-        # It asks for votes for a minute, and its requests arrive. The trial
-        # is refused by all who hear the leader, so no term is raised.
+    def test_member_that_receives_nothing_deposes_no_leader(self):
+        # Its vote requests arrive. Members in contact with the leader deny
+        # the pre-vote, so no term is raised.
         async def use(cluster):
             leader = await cluster.leader()
             term = leader.term
@@ -114,7 +112,7 @@
 
         run_virtual(with_cluster(Cluster(), use))
 
-    def test_doubled_late_and_lost_messages_do_no_harm(self):
+    def test_duplicated_delayed_and_lost_messages(self):
         async def use(cluster):
             await cluster.leader()
             cluster.network.set_default(
@@ -138,10 +136,9 @@
 
         run_virtual(with_cluster(Cluster(seed=5), use))
 
-    def test_lease_ends_when_the_leader_was_suspended(self):
-        # The leader's VM is stopped for ten seconds. Its monotonic clock did
-        # not count them, so the lease seems to hold, while another member
-        # may lead by now; only the wall clock has moved.
+    def test_lease_ends_when_the_leader_is_suspended(self):
+        # The monotonic clock may stop during a suspension, so an expired
+        # lease would look valid; only the wall clock has advanced.
         async def use(cluster):
             leader = await cluster.leader()
             vm = cluster.vm_of(leader)
@@ -152,9 +149,8 @@
 
         run_virtual(with_cluster(Cluster(), use))
 
-    def test_leadership_is_handed_over_before_a_shutdown(self):
-        # No election timeout passes: the next leader is there within a few
-        # round trips, and commands that were refused meanwhile go to it.
+    def test_leadership_is_transferred_before_a_shutdown(self):
+        # A new leader is elected without waiting for an election timeout.
         async def use(cluster):
             old = await cluster.leader()
             await old.propose(b"x", timeout=5)
--- a/tests/consensus/test_self_repair.py
+++ b/tests/consensus/test_self_repair.py
@@ -1,4 +1,4 @@
-"""Tests of control VMs that are taken in again without an operator."""
+"""Tests of repairing the membership without an operator."""
 
 import asyncio
 import unittest
@@ -29,8 +29,8 @@
     return {m.vm_id: m.disk_id for m in log.members if m.voter}
 
 
-def counts(cluster, vm):
-    """Say whether a VM with the disk that it has now is a voter."""
+def is_voter(cluster, vm):
+    """Return whether a VM with its current disk is a voter."""
     disk_id = vm.running.disk_id
     return disk_id is not None and any(
         disks(log).get(vm.vm_id) == disk_id for log in cluster.logs
@@ -46,7 +46,7 @@
 
 
 async def start_six(cluster):
-    """Start three founders and three more; return the leader of the six."""
+    """Start three founders and three more VMs; return the leader."""
     await cluster.start_all()
     for _ in range(3):
         await cluster.start(cluster.add_vm().vm_id)
@@ -58,16 +58,15 @@
 
 
 class SelfRepairTest(unittest.TestCase):
-    """Members that lose their disks, or never come back."""
+    """Members that lose their disks or never return."""
 
     def setUp(self):
         logger.disable("burdockdrum")
         self.addCleanup(logger.enable, "burdockdrum")
 
-    def test_emptied_vm_counts_again_and_another_loss_is_borne(self):
-        # An operator's change is acknowledged; the VM that did so loses its
-        # disk. It is taken in with its new disk within 4 s; then another
-        # one dies, and changes are still agreed on, the first one kept.
+    def test_emptied_vm_rejoins_before_another_loss(self):
+        # The leader loses its disk and becomes a voter with the new one, so
+        # that the cluster survives another loss.
         async def main(seed):
             cluster = make_cluster(seed=seed)
             await cluster.start_all()
@@ -77,7 +76,7 @@
             await cluster.stop(emptied.vm_id)
             emptied.disk.wipe()
             await cluster.start(emptied.vm_id)
-            back = await wait_for(lambda: counts(cluster, emptied), 6)
+            back = await wait_for(lambda: is_voter(cluster, emptied), 6)
             self.assertTrue(back)
             other = next(v for v in cluster.vms.values() if v is not emptied)
             await cluster.stop(other.vm_id)
@@ -92,10 +91,9 @@
             with self.subTest(seed=seed):
                 run_virtual(main(seed))
 
-    def test_newcomer_takes_the_place_of_a_vm_that_is_gone(self):
-        # One VM never comes back; an empty one is started at another
-        # address. It becomes a voter and the lost one is dropped, so that
-        # there are three voters again and not four with one dead.
+    def test_new_vm_replaces_a_lost_one(self):
+        # The lost voter must be removed: four voters with one lost survive
+        # no more losses than two of three.
         async def main():
             cluster = make_cluster()
             await cluster.start_all()
@@ -112,10 +110,9 @@
 
         run_virtual(main())
 
-    def test_vm_beyond_the_voters_is_a_member_that_stands_by(self):
-        # Six control VMs, five of which vote. Endpoints check in at the
-        # sixth as well: were it no member, no entry would follow it, and
-        # all that it acknowledged would be known to nobody.
+    def test_vm_beyond_the_voters_is_a_learner(self):
+        # Endpoints register with every control VM. If the sixth were no
+        # member, no entry VM would follow it.
         async def main():
             cluster = make_cluster(size=3, voters=5)
             leader = await start_six(cluster)
@@ -130,9 +127,8 @@
 
         run_virtual(main())
 
-    def test_one_that_stands_by_takes_the_place_of_a_lost_voter(self):
-        # A voter never comes back. The VM that stands by votes instead, and
-        # two more losses are borne.
+    def test_learner_replaces_a_lost_voter(self):
+        # After the promotion the cluster survives two more losses.
         async def main():
             cluster = make_cluster(size=3, voters=5)
             leader = await start_six(cluster)
@@ -159,10 +155,8 @@
 
         run_virtual(main())
 
-    def test_late_request_of_a_lost_disk_evicts_nobody(self):
-        # A VM asks for a place, loses its disk and gets one with the next.
-        # A copy of its first request arrives after that: the place must
-        # stay with the disk that there is.
+    def test_delayed_join_request_of_a_lost_disk_is_ignored(self):
+        # It must not replace the member with the VM's current disk.
         async def main():
             cluster = make_cluster()
             await cluster.start_all()
@@ -171,7 +165,7 @@
             await cluster.stop(vm.vm_id)
             vm.disk.wipe()
             await cluster.start(vm.vm_id)
-            self.assertTrue(await wait_for(lambda: counts(cluster, vm), 6))
+            self.assertTrue(await wait_for(lambda: is_voter(cluster, vm), 6))
             held = dict(disks(leader))
             late = JoinRequest(
                 vm_id=vm.vm_id,
@@ -187,9 +181,8 @@
 
         run_virtual(main())
 
-    def test_number_of_voters_grows_to_what_is_asked_for(self):
-        # Three found the cluster; three more start, as a deployment whose
-        # settings name only three. Five count, the sixth stands by.
+    def test_number_of_voters_grows_to_the_target(self):
+        # Three founders and three more VMs, with five voters as the target.
         async def main():
             cluster = make_cluster(voters=5)
             await cluster.start_all()
@@ -207,10 +200,9 @@
 
         run_virtual(main())
 
-    def test_nobody_is_removed_while_no_quorum_would_answer(self):
-        # Two of three are emptied at once, more than is borne. The one left
-        # may not drop either of them: what it holds stays, and no second
-        # cluster is founded beside it.
+    def test_no_member_is_removed_without_a_quorum(self):
+        # Two of three VMs lose their disks at once. The third must not
+        # remove them, and no second cluster may form.
         async def main():
             cluster = make_cluster()
             await cluster.start_all()
--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -1,4 +1,4 @@
-"""Tests of what is on the disk after crashes, torn writes and damage."""
+"""Tests of storage after crashes, torn writes and corruption."""
 
 import random
 import unittest
@@ -19,11 +19,11 @@
 
 
 class Crash(Exception):
-    """The process ends here."""
+    """The process is killed."""
 
 
 class CrashingDisk:
-    """A disk whose process ends before its n-th change."""
+    """A disk whose process is killed after a number of changes."""
 
     def __init__(self, *, disk, changes):
         self._disk = disk
@@ -60,11 +60,11 @@
 
 
 class StorageTest(unittest.TestCase):
-    """Reading back what was written."""
+    """Reading back the segments."""
 
-    def test_torn_tail_is_cut_wherever_it_tears(self):
-        # Power is lost while the last frame is being written. The member
-        # starts with all that was synced before, and goes on writing.
+    def test_torn_tail_is_truncated_at_any_size(self):
+        # Power is lost while the last frame is being written. All that was
+        # synced before must be read back.
         async def main():
             disk = FakeDisk(rng=random.Random(1))
             storage = await open_storage(disk)
@@ -83,9 +83,9 @@
 
         run_virtual(main())
 
-    def test_damage_before_a_whole_frame_is_refused(self):
-        # A byte of a synced record went bad. Cutting the log there would
-        # let this member vote without entries that it acknowledged.
+    def test_damage_before_a_valid_frame_is_rejected(self):
+        # Truncating the log at a corrupted synced record would let this
+        # member vote without entries that it acknowledged.
         async def main():
             disk = FakeDisk(rng=random.Random(1))
             storage = await open_storage(disk)
@@ -102,7 +102,7 @@
 
         run_virtual(main())
 
-    def test_missing_segment_is_refused(self):
+    def test_missing_segment_is_rejected(self):
         async def main():
             disk = FakeDisk(rng=random.Random(1))
             storage = await open_storage(disk, segment_bytes=100)
@@ -116,7 +116,7 @@
 
         run_virtual(main())
 
-    def test_later_entry_takes_away_those_after_it(self):
+    def test_entry_replaces_those_at_and_after_its_index(self):
         async def main():
             disk = FakeDisk(rng=random.Random(1))
             storage = await open_storage(disk)
@@ -129,9 +129,9 @@
 
         run_virtual(main())
 
-    def test_entry_replaced_while_it_is_written_does_not_count(self):
-        # The sync of entry 2 is under way when a new leader replaces it. Its
-        # end must not count the new entry, which is not on the disk yet.
+    def test_entry_replaced_during_its_sync_is_not_durable(self):
+        # The replacement is not on the disk when the sync of the original
+        # entry completes.
         async def main():
             disk = FakeDisk(rng=random.Random(1))
             storage = await open_storage(disk)
@@ -150,7 +150,7 @@
         run_virtual(main())
 
     def test_failed_sync_is_never_taken_back(self):
-        # The second sync reports success for pages that the first one lost.
+        # The next sync may report success although pages were lost.
         async def main():
             disk = FakeDisk(rng=random.Random(1))
             storage = await open_storage(disk)
@@ -164,11 +164,9 @@
 
         run_virtual(main())
 
-    def test_what_is_read_back_is_synced_before_it_counts(self):
-        # The process is killed after it wrote an entry and before the sync.
-        # Its next start finds the entry, since the kernel has kept it, and
-        # acknowledges it. Then the power goes, and with it what was never
-        # synced.
+    def test_entries_read_back_are_synced(self):
+        # A process killed between write and sync leaves the entry in the
+        # page cache. Read back and acknowledged, a power loss would lose it.
         async def main():
             for seed in range(10):
                 disk = FakeDisk(rng=random.Random(seed))
@@ -188,12 +186,11 @@
 
 
 class CrashTest(unittest.TestCase):
-    """A crash before each single change to the disk."""
+    """A crash before each change to the disk."""
 
-    def test_nothing_synced_is_lost_at_any_crash(self):
-        # Entries, votes, a snapshot, compaction and new segments; the
-        # process ends before change n, with and without a loss of power.
-        # After the restart all that was acknowledged is there.
+    def test_no_crash_loses_synced_data(self):
+        # Writes entries, votes, snapshots and segments and compacts them,
+        # with a crash before each change, with and without a power loss.
         async def main():
             changes = 0
             finished = False
