--- a/burdockdrum/claims/__init__.py
+++ b/burdockdrum/claims/__init__.py
@@ -1,4 +1,4 @@
-"""Claims by which an unrepeatable request runs at most once."""
+"""Claims on idempotency keys, by which a request runs at most once."""
 
 from burdockdrum.claims.claims import Claim
 from burdockdrum.claims.claims import Claims
--- a/burdockdrum/claims/book.py
+++ b/burdockdrum/claims/book.py
@@ -1,4 +1,4 @@
-"""The claims that a keeper holds, within bounds."""
+"""The bounded in-memory table of claims that a replica stores."""
 
 import collections
 from collections.abc import Iterator
@@ -13,18 +13,18 @@
 
 MAX_CLAIMS = 40_000
 MAX_ANSWER_BYTES = 16 * 1024
-MAX_ANSWERS_BYTES = 4 * 1024 * 1024
+MAX_TOTAL_ANSWER_BYTES = 4 * 1024 * 1024
 
 
-class ClaimBook:
+class ClaimTable:
     """Claims by client and key, oldest first.
 
-    A claim is never dropped for want of room: its request could run again.
-    Only its answer is.
+    When memory runs short, only stored answers are evicted. Evicting a claim
+    would let its request run again.
     """
 
     def __init__(self) -> None:
-        """Create an empty book."""
+        """Create an empty table."""
         self._records_by_id: dict[ClaimId, ClaimRecord] = {}
         self._removed = 0
         self._answers = collections.OrderedDict[ClaimId, int]()
@@ -34,20 +34,20 @@
         return len(self._records_by_id)
 
     def get(self, claim_id: ClaimId) -> ClaimRecord | None:
-        """Return a claim, or None if it was never taken or was given back."""
+        """Return a claim, or None if there is none or it was released."""
         return self._records_by_id.get(claim_id)
 
     def is_full(self) -> bool:
-        """Say whether no further claim fits."""
+        """Return whether the limit on the number of claims is reached."""
         return len(self._records_by_id) >= MAX_CLAIMS
 
     def put(self, record: ClaimRecord) -> None:
-        """Add a claim, or replace what is known of it."""
-        # One string for all claims of a client.
+        """Add or replace a claim; an oversized answer is not stored."""
+        # All claims of a client share one string.
         client_id = sys.intern(record.client_id)
         record = msgspec.structs.replace(record, client_id=client_id)
         claim_id = record.claim_id
-        self._forget_answer(claim_id)
+        self._remove_answer(claim_id)
         size = len(record.body or b"")
         if size > MAX_ANSWER_BYTES:
             record = msgspec.structs.replace(record, body=None)
@@ -56,16 +56,16 @@
         if size:
             self._answers[claim_id] = size
             self._answers_bytes += size
-            self._make_room()
+            self._evict_answers()
 
     def remove(self, claim_id: ClaimId) -> None:
-        """Forget a claim."""
-        self._forget_answer(claim_id)
+        """Remove a claim."""
+        self._remove_answer(claim_id)
         if self._records_by_id.pop(claim_id, None) is not None:
             self._removed += 1
 
     def expire(self, before: float) -> list[ClaimId]:
-        """Forget the claims taken before a wall time; return which."""
+        """Remove claims granted before a wall time; return their ids."""
         expired = []
         for claim_id, record in self._records_by_id.items():
             if record.taken_at >= before:
@@ -82,11 +82,11 @@
     def page(
         self, after: int, count: int
     ) -> tuple[list[ClaimRecord], int | None]:
-        """Return claims behind a place, and the place of the last one.
+        """Return the claims after a position, and the next position.
 
-        A place counts the claims before it, removed ones too. What is
-        removed while pages are read only makes them overlap; what is added
-        is on the last one.
+        The next position is None after the last page. Positions count
+        removed claims too, so removals between two pages only make the pages
+        overlap; new claims appear on the last page.
         """
         start = max(0, after - self._removed)
         kept = itertools.islice(
@@ -97,14 +97,14 @@
             return records, None
         return records, self._removed + start + count
 
-    def _make_room(self) -> None:
-        while self._answers_bytes > MAX_ANSWERS_BYTES:
+    def _evict_answers(self) -> None:
+        while self._answers_bytes > MAX_TOTAL_ANSWER_BYTES:
             oldest = next(iter(self._answers))
-            self._forget_answer(oldest)
+            self._remove_answer(oldest)
             record = self._records_by_id[oldest]
             self._records_by_id[oldest] = msgspec.structs.replace(
                 record, body=None
             )
 
-    def _forget_answer(self, claim_id: ClaimId) -> None:
+    def _remove_answer(self, claim_id: ClaimId) -> None:
         self._answers_bytes -= self._answers.pop(claim_id, 0)
--- a/burdockdrum/claims/claims.py
+++ b/burdockdrum/claims/claims.py
@@ -1,4 +1,8 @@
-"""Claims as an entry VM uses them, in whichever region it is."""
+"""Acquire and settle claims from any entry VM, in any region.
+
+A claim is acquired in the client's home region: by the local coordinator on
+a VM of that region, else by a call to one of its VMs.
+"""
 
 import asyncio
 import contextlib
@@ -8,21 +12,21 @@
 
 from burdockdrum.claims.coordinator import Coordinator
 from burdockdrum.claims.coordinator import StoredAnswer
-from burdockdrum.claims.keeper import Keeper
+from burdockdrum.claims.keeper import ClaimReplica
+from burdockdrum.claims.messages import AcquireCall
+from burdockdrum.claims.messages import AcquireOutcome
+from burdockdrum.claims.messages import AcquireReply
 from burdockdrum.claims.messages import ClaimRecord
 from burdockdrum.claims.messages import ClaimState
 from burdockdrum.claims.messages import EpochCall
 from burdockdrum.claims.messages import RecoverCall
 from burdockdrum.claims.messages import SettleCall
 from burdockdrum.claims.messages import SettleReply
-from burdockdrum.claims.messages import TakeCall
-from burdockdrum.claims.messages import TakeOutcome
-from burdockdrum.claims.messages import TakeReply
 from burdockdrum.claims.messages import TicketCall
 from burdockdrum.claims.messages import TicketReply
 from burdockdrum.claims.messages import VoteCall
 from burdockdrum.claims.recovery import Recovery
-from burdockdrum.claims.refusals import explain
+from burdockdrum.claims.refusals import replay_or_refuse
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.peers import CallFailed
 from burdockdrum.peers import Message
@@ -36,36 +40,36 @@
 from burdockdrum.verdicts import Verdict
 from burdockdrum.vms import VmDirectory
 
-# Longer than the coordinator takes to collect votes and give them back.
-TAKE_SECONDS = 2.5
+# Longer than the coordinator takes to collect votes and release them.
+ACQUIRE_TIMEOUT_SECONDS = 2.5
 MAX_COORDINATORS = 2
-TIDY_SECONDS = 10.0
-CONFIRM_POLL_SECONDS = 0.25
+CLEANUP_INTERVAL_SECONDS = 10.0
+CONFIRM_POLL_INTERVAL_SECONDS = 0.25
 
 
 class Claim:
-    """A claim that this VM holds for a request; settled exactly once."""
+    """A granted claim, which the request's entry VM settles exactly once."""
 
     def __init__(
         self, *, claims: "Claims", record: ClaimRecord, home_region: str
     ) -> None:
-        """Create a claim that was granted."""
+        """Wrap the record of a granted claim."""
         self._claims = claims
         self._record = record
         self._home_region = home_region
 
     async def release(self) -> None:
-        """Give the key back: the request provably did not run."""
+        """Release the key: the request provably did not run."""
         await self._settle(None)
 
     async def lose(self) -> None:
-        """Note that the request may have run and no answer will come."""
+        """Record that the request may have run and its answer is lost."""
         await self._settle(ClaimState.LOST)
 
     async def keep(self, answer: StoredAnswer | None) -> None:
-        """Keep the answer for whoever sends the same key again.
+        """Record that the request ran, and store its answer for replays.
 
-        :param answer: None where it went out as a stream
+        :param answer: None if the answer was streamed
         """
         await self._settle(ClaimState.RAN, answer)
 
@@ -87,7 +91,7 @@
 
 
 class Claims:
-    """Take claims at the client's home region, and keep those of this one."""
+    """Acquire claims in any region and serve the claim calls of this one."""
 
     def __init__(
         self,
@@ -98,35 +102,35 @@
         timeline: Timeline,
         vms: VmDirectory,
         configuration: ConfigurationService,
-        keeper: Keeper | None,
+        replica: ClaimReplica | None,
         addresses_by_id: dict[str, str],
     ) -> None:
-        """Create the claims of a VM.
+        """Create the service and register its message handlers.
 
-        :param keeper: set where this VM is one of the region's keepers
-        :param addresses_by_id: control addresses of this region's keepers
+        :param replica: set if this VM is one of the region's claim replicas
+        :param addresses_by_id: control addresses of this region's replicas
         """
         self._peers = peers
         self._clock = clock
         self._timeline = timeline
         self._vms = vms
         self._configuration = configuration
-        self._keeper = keeper
+        self._replica = replica
         self._addresses_by_id = addresses_by_id
         self._coordinator = Coordinator(
             peers=peers,
             rng=rng,
-            keeper=keeper,
+            replica=replica,
             addresses_by_id=addresses_by_id,
         )
-        self._last = configuration.current
+        self._last_configuration = configuration.current
         self._confirmed = False
-        peers.register(TakeCall, self._take_take)
-        peers.register(SettleCall, self._take_settle)
-        peers.register(TicketCall, self._take_ticket)
-        peers.register(VoteCall, self._take_vote)
-        peers.register(RecoverCall, self._take_recover)
-        peers.register(EpochCall, self._take_epoch)
+        peers.register(AcquireCall, self._handle_acquire)
+        peers.register(SettleCall, self._handle_settle)
+        peers.register(TicketCall, self._handle_ticket)
+        peers.register(VoteCall, self._handle_vote)
+        peers.register(RecoverCall, self._handle_recover)
+        peers.register(EpochCall, self._handle_epoch)
 
     async def take(
         self,
@@ -137,13 +141,13 @@
         owner: str,
         seconds: float,
     ) -> Claim | StoredAnswer:
-        """Obtain the claim on a key, or the answer that it has brought.
+        """Acquire the claim on a key, or return the answer stored for it.
 
-        :param owner: the id of the request that would run
-        :param seconds: how long the run may take
-        :raises Refusal: with what is known of the run that holds the key
+        :param owner: id of the request that is to run
+        :param seconds: the longest time that the run may take
+        :raises Refusal: if the claim is not granted and no answer is stored
         """
-        home_region = self._find_home(client_id)
+        home_region = self._find_home_region(client_id)
         record = ClaimRecord(
             client_id=client_id,
             key=key,
@@ -152,95 +156,95 @@
             taken_at=self._clock.wall(),
             seconds=seconds,
         )
-        reply = await self._take(record, home_region)
+        reply = await self._acquire(record, home_region)
         self._timeline.record(
             "claim.asked", request_id=owner, outcome=reply.outcome.value
         )
-        if reply.outcome is TakeOutcome.GRANTED:
+        if reply.outcome is AcquireOutcome.GRANTED:
             return Claim(claims=self, record=record, home_region=home_region)
-        return explain(reply, record, now=self._clock.wall())
+        return replay_or_refuse(reply, record, now=self._clock.wall())
 
     async def settle(self, call: SettleCall, home_region: str) -> None:
-        """Tell the keepers how a run ended."""
+        """Report the end of a run to the claim replicas."""
         if home_region == self._vms.identity.region:
             await self._coordinator.settle(call)
             return
         for address in self._find_coordinators(home_region):
             with contextlib.suppress(CallFailed):
                 await self._peers.call(
-                    address, call, SettleReply, timeout=TAKE_SECONDS
+                    address, call, SettleReply, timeout=ACQUIRE_TIMEOUT_SECONDS
                 )
                 return
 
     async def issue_ticket(self, client_id: str) -> str:
-        """Return a key that is provably new, also after a restart.
+        """Return a key that provably was never used.
 
-        :raises Refusal: if no keeper of the home region is reached
+        :raises Refusal: if no claim replica of the home region is reachable
         """
-        home_region = self._find_home(client_id)
+        home_region = self._find_home_region(client_id)
         ticket: str | None = None
         if home_region == self._vms.identity.region:
             ticket = await self._coordinator.issue_ticket()
         else:
-            ticket = await self._ask_for_ticket(home_region)
+            ticket = await self._request_ticket(home_region)
         if ticket is None:
             raise Refusal(
                 code=RefusalCode.CLAIM_UNREACHABLE,
-                message=f"no keeper of claims in {home_region!r} is reached",
+                message=f"no claim replica in {home_region!r} is reachable",
                 verdict=Verdict.NOT_RUN,
                 retry_after=1.0,
             )
         return ticket
 
     async def run(self) -> None:
-        """Bring this VM's keeper back and keep its book short."""
-        if self._keeper is None:
+        """Recover this VM's replica, then expire its claims periodically."""
+        if self._replica is None:
             return
-        await self._keeper.load()
-        self._last = self._configuration.current
+        await self._replica.load()
+        self._last_configuration = self._configuration.current
         recovery = Recovery(
-            keeper=self._keeper,
+            replica=self._replica,
             peers=self._peers,
             clock=self._clock,
             addresses_by_id=self._addresses_by_id,
         )
         async with asyncio.TaskGroup() as group:
             group.create_task(recovery.run())
-            group.create_task(self._tidy(self._keeper))
+            group.create_task(self._clean_up(self._replica))
             group.create_task(self._wait_until_confirmed())
             self._configuration.add_listener(
-                lambda new: self._note_clients(group, new)
+                lambda new: self._record_new_clients(group, new)
             )
 
-    async def _tidy(self, keeper: Keeper) -> None:
+    async def _clean_up(self, replica: ClaimReplica) -> None:
         while True:
-            await self._clock.sleep(TIDY_SECONDS)
-            await keeper.tidy()
+            await self._clock.sleep(CLEANUP_INTERVAL_SECONDS)
+            await replica.clean_up()
 
-    def _note_clients(
+    def _record_new_clients(
         self, group: asyncio.TaskGroup, new: Configuration
     ) -> None:
-        """Note clients that were not there in the revision before.
+        """Record clients that the previous configuration did not have.
 
-        That counts only once a control VM has said that a revision seen
-        here was the newest: a VM that restarts may be shown old ones first,
-        in which clients are missing that have used keys since.
+        Skipped until a control VM has confirmed that the configuration is
+        current: after a restart this VM may first receive old revisions,
+        which lack clients that have used keys since.
         """
-        last, self._last = self._last, new
-        if self._keeper is None or not self._confirmed:
+        last, self._last_configuration = self._last_configuration, new
+        if self._replica is None or not self._confirmed:
             return
         for client_id in new.clients_by_id.keys() - last.clients_by_id.keys():
-            group.create_task(self._keeper.note_new_client(client_id))
+            group.create_task(self._replica.record_new_client(client_id))
 
     async def _wait_until_confirmed(self) -> None:
         started_at = self._clock.monotonic()
         while not self._confirmed:
-            await self._clock.sleep(CONFIRM_POLL_SECONDS)
+            await self._clock.sleep(CONFIRM_POLL_INTERVAL_SECONDS)
             age = self._configuration.age
             uptime = self._clock.monotonic() - started_at
             self._confirmed = age is not None and age <= uptime
 
-    def _find_home(self, client_id: str) -> str:
+    def _find_home_region(self, client_id: str) -> str:
         client = self._configuration.current.clients_by_id.get(client_id)
         if client is None:
             raise Refusal(
@@ -250,36 +254,41 @@
             )
         return client.home_region
 
-    async def _take(self, record: ClaimRecord, home_region: str) -> TakeReply:
+    async def _acquire(
+        self, record: ClaimRecord, home_region: str
+    ) -> AcquireReply:
         if home_region == self._vms.identity.region:
-            return await self._coordinator.take(record)
-        asked = []
+            return await self._coordinator.acquire(record)
+        tried = []
         for address in self._find_coordinators(home_region):
-            asked.append(address)
+            tried.append(address)
             with contextlib.suppress(CallFailed):
                 return await self._peers.call(
                     address,
-                    TakeCall(record=record),
-                    TakeReply,
-                    timeout=TAKE_SECONDS,
+                    AcquireCall(record=record),
+                    AcquireReply,
+                    timeout=ACQUIRE_TIMEOUT_SECONDS,
                 )
-        # A lost reply may have been a grant: nobody will use it.
-        give_back = SettleCall(
+        # A reply that was lost may have granted the claim, which is unused.
+        release_call = SettleCall(
             client_id=record.client_id,
             key=record.key,
             owner=record.owner,
             state=None,
             pass_on=True,
         )
-        for address in asked:
-            self._peers.send(address, give_back)
-        return TakeReply(outcome=TakeOutcome.UNREACHABLE)
+        for address in tried:
+            self._peers.send(address, release_call)
+        return AcquireReply(outcome=AcquireOutcome.UNREACHABLE)
 
-    async def _ask_for_ticket(self, home_region: str) -> str | None:
+    async def _request_ticket(self, home_region: str) -> str | None:
         for address in self._find_coordinators(home_region):
             with contextlib.suppress(CallFailed):
                 reply = await self._peers.call(
-                    address, TicketCall(), TicketReply, timeout=TAKE_SECONDS
+                    address,
+                    TicketCall(),
+                    TicketReply,
+                    timeout=ACQUIRE_TIMEOUT_SECONDS,
                 )
                 return reply.ticket
         return None
@@ -294,38 +303,44 @@
         chosen = views[:MAX_COORDINATORS]
         return [view.identity.control_address for view in chosen]
 
-    async def _take_take(self, sender: Sender, call: TakeCall) -> Message:
-        return await self._coordinator.take(call.record)
+    async def _handle_acquire(
+        self, sender: Sender, call: AcquireCall
+    ) -> Message:
+        return await self._coordinator.acquire(call.record)
 
-    async def _take_settle(self, sender: Sender, call: SettleCall) -> Message:
+    async def _handle_settle(
+        self, sender: Sender, call: SettleCall
+    ) -> Message:
         if call.pass_on:
             await self._coordinator.settle(
                 msgspec.structs.replace(call, pass_on=False)
             )
-        elif self._keeper is not None:
-            await self._keeper.settle(call)
+        elif self._replica is not None:
+            await self._replica.settle(call)
         return SettleReply()
 
-    async def _take_ticket(self, sender: Sender, call: TicketCall) -> Message:
+    async def _handle_ticket(
+        self, sender: Sender, call: TicketCall
+    ) -> Message:
         return TicketReply(ticket=await self._coordinator.issue_ticket())
 
-    async def _take_vote(
+    async def _handle_vote(
         self, sender: Sender, call: VoteCall
     ) -> Message | None:
-        if self._keeper is None:
+        if self._replica is None:
             return None
-        return await self._keeper.vote(call)
+        return await self._replica.vote(call)
 
-    async def _take_recover(
+    async def _handle_recover(
         self, sender: Sender, call: RecoverCall
     ) -> Message | None:
-        if self._keeper is None:
+        if self._replica is None:
             return None
-        return self._keeper.answer_recovery(call)
+        return self._replica.handle_recovery(call)
 
-    async def _take_epoch(
+    async def _handle_epoch(
         self, sender: Sender, call: EpochCall
     ) -> Message | None:
-        if self._keeper is None:
+        if self._replica is None:
             return None
-        return await self._keeper.enter(call)
+        return await self._replica.enter_epoch(call)
--- a/burdockdrum/claims/coordinator.py
+++ b/burdockdrum/claims/coordinator.py
@@ -1,7 +1,7 @@
-"""Obtain claims from the keepers of this region.
+"""Acquire claims by collecting votes of the claim replicas of this region.
 
-Every VM of a region can do it for any entry VM: the keepers' votes decide,
-not whoever collects them.
+Any VM of the region can coordinate: a claim depends only on the replicas'
+votes, not on who collects them.
 """
 
 import asyncio
@@ -11,13 +11,13 @@
 from dataclasses import dataclass
 import random
 
-from burdockdrum.claims.keeper import Keeper
+from burdockdrum.claims.keeper import ClaimReplica
+from burdockdrum.claims.messages import AcquireOutcome
+from burdockdrum.claims.messages import AcquireReply
 from burdockdrum.claims.messages import ClaimRecord
 from burdockdrum.claims.messages import ClaimState
 from burdockdrum.claims.messages import SettleCall
 from burdockdrum.claims.messages import SettleReply
-from burdockdrum.claims.messages import TakeOutcome
-from burdockdrum.claims.messages import TakeReply
 from burdockdrum.claims.messages import TicketCall
 from burdockdrum.claims.messages import TicketReply
 from burdockdrum.claims.messages import VoteCall
@@ -28,12 +28,12 @@
 from burdockdrum.peers import CallFailed
 from burdockdrum.peers import Peers
 
-VOTE_SECONDS = 1.0
+VOTE_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class StoredAnswer:
-    """The whole answer of an earlier run under the same key."""
+    """The buffered answer of an earlier run under the same key."""
 
     status: int
     content_type: str
@@ -42,32 +42,32 @@
 
 
 class Coordinator:
-    """Collect the votes of a region's keepers."""
+    """Acquires and settles claims at the claim replicas of this region."""
 
     def __init__(
         self,
         *,
         peers: Peers,
         rng: random.Random,
-        keeper: Keeper | None,
+        replica: ClaimReplica | None,
         addresses_by_id: dict[str, str],
     ) -> None:
         """Create a coordinator.
 
-        :param keeper: this VM's own, if it is one of the group
-        :param addresses_by_id: control addresses of the whole group
+        :param replica: this VM's own replica, if it has one
+        :param addresses_by_id: control addresses of all replicas
         """
         self._peers = peers
         self._rng = rng
-        self._keeper = keeper
+        self._replica = replica
         self._addresses_by_id = addresses_by_id
-        self._keepers = sorted(addresses_by_id)
+        self._replica_ids = sorted(addresses_by_id)
         self._running: set[asyncio.Task] = set()
 
-    async def take(self, record: ClaimRecord) -> TakeReply:
-        """Ask for the votes, and give them back if they don't suffice."""
-        votes = await self._collect(record)
-        known = _find_best(
+    async def acquire(self, record: ClaimRecord) -> AcquireReply:
+        """Request votes, and release them if they are no majority."""
+        votes = await self._collect_votes(record)
+        known = _most_advanced(
             [
                 vote.record
                 for vote in votes
@@ -75,44 +75,46 @@
                 and vote.record.owner != record.owner
             ]
         )
-        # A majority decides; but if any keeper knows that another run has
-        # begun to have effects, refusing costs less than being wrong.
+        # A majority decides. But if any replica knows that another run ended
+        # or was lost, refuse: a second run would be worse.
         settled = known is not None and known.state is not ClaimState.GRANTED
-        if not settled and count_valid(votes) >= majority(len(self._keepers)):
-            return TakeReply(outcome=TakeOutcome.GRANTED)
-        await self.give_back(record)
+        if not settled and count_valid_votes(votes) >= majority(
+            len(self._replica_ids)
+        ):
+            return AcquireReply(outcome=AcquireOutcome.GRANTED)
+        await self.release(record)
         if known is not None:
-            return TakeReply(outcome=TakeOutcome.TAKEN, record=known)
+            return AcquireReply(outcome=AcquireOutcome.TAKEN, record=known)
         outcomes = {vote.outcome for vote in votes}
         if VoteOutcome.UNKNOWN in outcomes:
-            return TakeReply(outcome=TakeOutcome.UNKNOWN)
+            return AcquireReply(outcome=AcquireOutcome.UNKNOWN)
         if VoteOutcome.FULL in outcomes:
-            return TakeReply(outcome=TakeOutcome.FULL)
-        return TakeReply(outcome=TakeOutcome.UNREACHABLE)
+            return AcquireReply(outcome=AcquireOutcome.FULL)
+        return AcquireReply(outcome=AcquireOutcome.UNREACHABLE)
 
-    async def _collect(self, record: ClaimRecord) -> list[VoteReply]:
-        """Return the votes, without waiting for those not needed.
+    async def _collect_votes(self, record: ClaimRecord) -> list[VoteReply]:
+        """Return votes as soon as a majority granted the claim.
 
-        A keeper that is down must not hold up each request for a second.
+        An unreachable replica must not delay every request by the timeout.
         """
-        call = VoteCall(keepers=self._keepers, record=record)
-        asking = {
-            asyncio.create_task(self._ask(vm_id, call))
-            for vm_id in self._keepers
+        call = VoteCall(keepers=self._replica_ids, record=record)
+        pending = {
+            asyncio.create_task(self._request_vote(vm_id, call))
+            for vm_id in self._replica_ids
         }
-        self._keep(asking)
+        self._keep_running(pending)
         votes: list[VoteReply] = []
-        enough = majority(len(self._keepers))
-        while asking and count_valid(votes) < enough:
-            done, asking = await asyncio.wait(
-                asking, return_when=asyncio.FIRST_COMPLETED
+        needed = majority(len(self._replica_ids))
+        while pending and count_valid_votes(votes) < needed:
+            done, pending = await asyncio.wait(
+                pending, return_when=asyncio.FIRST_COMPLETED
             )
             replies = (task.result() for task in done)
             votes += [reply for reply in replies if reply is not None]
         return votes
 
-    async def give_back(self, record: ClaimRecord) -> None:
-        """Withdraw what votes an owner has; it will not run."""
+    async def release(self, record: ClaimRecord) -> None:
+        """Release the votes for an owner whose request will not run."""
         await self.settle(
             SettleCall(
                 client_id=record.client_id,
@@ -123,77 +125,82 @@
         )
 
     async def settle(self, call: SettleCall) -> None:
-        """Tell every keeper how a run ended, as far as they are reached.
+        """Report the end of a run to every reachable replica.
 
-        Return once a majority has heard of it; the rest are told while the
-        caller has its answer.
+        Returns once a majority has confirmed; the other calls go on in the
+        background.
         """
-        telling = {
-            asyncio.create_task(self._tell(vm_id, call))
-            for vm_id in self._keepers
+        pending = {
+            asyncio.create_task(self._send_settlement(vm_id, call))
+            for vm_id in self._replica_ids
         }
-        self._keep(telling)
+        self._keep_running(pending)
         count = 0
-        for told in asyncio.as_completed(telling):
-            count += await told
-            if count >= majority(len(self._keepers)):
+        for confirmed in asyncio.as_completed(pending):
+            count += await confirmed
+            if count >= majority(len(self._replica_ids)):
                 return
 
     async def issue_ticket(self) -> str | None:
-        """Return a key of the present epoch, if a keeper is ready."""
-        if self._keeper is not None:
-            if not self._keeper.ready:
+        """Return a key of the current epoch, None if no replica is ready."""
+        if self._replica is not None:
+            if not self._replica.ready:
                 return None
-            return make_ticket(self._keeper.epoch, self._rng)
+            return make_ticket(self._replica.epoch, self._rng)
         for address in self._addresses_by_id.values():
             with contextlib.suppress(CallFailed):
                 reply = await self._peers.call(
-                    address, TicketCall(), TicketReply, timeout=VOTE_SECONDS
+                    address,
+                    TicketCall(),
+                    TicketReply,
+                    timeout=VOTE_TIMEOUT_SECONDS,
                 )
                 if reply.ticket is not None:
                     return reply.ticket
         return None
 
-    async def _ask(self, vm_id: str, call: VoteCall) -> VoteReply | None:
+    async def _request_vote(
+        self, vm_id: str, call: VoteCall
+    ) -> VoteReply | None:
         if vm_id == self._peers.identity.vm_id:
-            return await self._keeper.vote(call) if self._keeper else None
+            return await self._replica.vote(call) if self._replica else None
         try:
             return await self._peers.call(
                 self._addresses_by_id[vm_id],
                 call,
                 VoteReply,
-                timeout=VOTE_SECONDS,
+                timeout=VOTE_TIMEOUT_SECONDS,
             )
         except CallFailed:
             return None
 
-    def _keep(self, tasks: Iterable[asyncio.Task]) -> None:
-        """Let tasks run to their end: one may be syncing a vote."""
+    def _keep_running(self, tasks: Iterable[asyncio.Task]) -> None:
+        """Let tasks outlive their caller: one may be syncing a vote."""
         for task in tasks:
             self._running.add(task)
             task.add_done_callback(self._running.discard)
 
-    async def _tell(self, vm_id: str, call: SettleCall) -> bool:
+    async def _send_settlement(self, vm_id: str, call: SettleCall) -> bool:
         if vm_id == self._peers.identity.vm_id:
-            if self._keeper is not None:
-                await self._keeper.settle(call)
+            if self._replica is not None:
+                await self._replica.settle(call)
             return True
         address = self._addresses_by_id[vm_id]
         try:
             await self._peers.call(
-                address, call, SettleReply, timeout=VOTE_SECONDS
+                address, call, SettleReply, timeout=VOTE_TIMEOUT_SECONDS
             )
         except CallFailed:
             return False
         return True
 
 
-def count_valid(votes: list[VoteReply]) -> int:
-    """Count the votes that hold together.
+def count_valid_votes(votes: list[VoteReply]) -> int:
+    """Count the granting votes that can form a majority together.
 
-    A vote counts if its keeper is still in the newest epoch among them and
-    no other keeper that voted knows of a later start of it, in which it may
-    have forgotten this vote.
+    A vote counts if it is from the newest epoch among the votes, and if no
+    other voter knows of a later incarnation of its replica, which may have
+    lost the vote.
     """
     granted = [vote for vote in votes if vote.outcome is VoteOutcome.GRANTED]
     newest = max((vote.epoch for vote in votes), default=None)
@@ -207,11 +214,11 @@
     )
 
 
-def _find_best(records: list[ClaimRecord]) -> ClaimRecord | None:
-    """Return the claim of which most is known."""
+def _most_advanced(records: list[ClaimRecord]) -> ClaimRecord | None:
+    """Return a claim with an answer, else a settled one, else any."""
 
-    def weigh(record: ClaimRecord) -> tuple[bool, bool]:
+    def progress(record: ClaimRecord) -> tuple[bool, bool]:
         settled = record.state is not ClaimState.GRANTED
         return (record.body is not None, settled)
 
-    return max(records, key=weigh, default=None)
+    return max(records, key=progress, default=None)
--- a/burdockdrum/claims/keeper.py
+++ b/burdockdrum/claims/keeper.py
@@ -1,19 +1,19 @@
-"""A keeper of claims: it votes for at most one owner of each key.
-
-A claim is granted by the votes of a majority of the keepers of the client's
-home region, so no two owners can hold it, on whichever sides of a cut they
-ask. What makes this hold when keepers forget:
-
-- A keeper with a disk syncs its vote before it gives it.
-- One without, after a restart, first learns the claims of enough others
-  that each majority it was part of is among them (Liskov and Cowling,
-  "Viewstamped Replication Revisited", 2012, recovery). They then name its
-  new start in their votes, so that a vote from before its restart no longer
-  counts beside theirs. Where they know several owners of a key, it holds all
-  of these (see ``rivals``).
-- Where too many have forgotten, a new epoch begins, in which an unknown key
-  gets a vote only if it is provably from this epoch: it is a ticket, or its
-  client was created since.
+"""A claim replica, which votes for at most one owner of each key.
+
+A claim is granted by a majority of the claim replicas of the client's home
+region, so two owners can't both hold it, even across a network partition.
+This also holds when replicas lose their memory:
+
+- A replica with a disk syncs a vote before it sends it.
+- A replica without a disk recovers after a restart from enough others to
+  meet each majority that it was part of (Liskov and Cowling, "Viewstamped
+  Replication Revisited", 2012, recovery). The others then name its new
+  incarnation in their votes, so its votes from before the restart no longer
+  count beside theirs. If they know several owners of a key, it stores all of
+  them (see ``rivals``).
+- If too many replicas lost their memory, a new epoch begins. In it an unknown
+  key gets a vote only if it is provably from this epoch: it is a ticket, or
+  its client was created in this epoch.
 """
 
 from collections.abc import Iterator
@@ -21,11 +21,11 @@
 from loguru import logger
 import msgspec
 
-from burdockdrum.claims.book import ClaimBook
+from burdockdrum.claims.book import ClaimTable
 from burdockdrum.claims.log import ClaimLog
-from burdockdrum.claims.log import ClientSeen
-from burdockdrum.claims.log import Entered
+from burdockdrum.claims.log import ClientCreated
 from burdockdrum.claims.log import Entry
+from burdockdrum.claims.log import EpochEntered
 from burdockdrum.claims.log import Put
 from burdockdrum.claims.log import Removed
 from burdockdrum.claims.messages import ClaimRecord
@@ -40,20 +40,20 @@
 from burdockdrum.claims.messages import VoteCall
 from burdockdrum.claims.messages import VoteOutcome
 from burdockdrum.claims.messages import VoteReply
-from burdockdrum.claims.rivals import Rivals
+from burdockdrum.claims.rivals import ConflictingClaims
 from burdockdrum.claims.tickets import is_ticket_of
 from burdockdrum.peers import VmIdentity
 from burdockdrum.ports import Clock
 from burdockdrum.ports import DiskError
 from burdockdrum.timeline import Timeline
 
-# How long a key is remembered, and so how long a resend can't run again.
+# How long a claim is stored, and so for how long a resend can't run again.
 RETENTION_SECONDS = 24 * 3600.0
-PAGE_RECORDS = 500
+RECORDS_PER_PAGE = 500
 
 
-class Keeper:
-    """The claims that one VM keeps, and its votes."""
+class ClaimReplica:
+    """Stores the claims that one VM knows and votes on new ones."""
 
     def __init__(
         self,
@@ -61,120 +61,120 @@
         identity: VmIdentity,
         clock: Clock,
         timeline: Timeline,
-        keepers: list[str],
+        replica_ids: list[str],
         log: ClaimLog | None,
     ) -> None:
-        """Create a keeper that remembers nothing and does not vote.
+        """Create an empty replica that does not vote yet.
 
-        :param keepers: ids of the VMs of the group, sorted
+        :param replica_ids: ids of the VMs with a replica, sorted
         :param log: where claims are synced, on a VM with a disk
         """
-        self.book = ClaimBook()
+        self.table = ClaimTable()
         self.epoch = NO_EPOCH
         self.ready = False
         self.incarnations: dict[str, int] = {}
         self._identity = identity
         self._clock = clock
         self._timeline = timeline
-        self._keepers = keepers
+        self._replica_ids = replica_ids
         self._log = log
         self._formed_at = 0.0
         self._new_clients: set[str] = set()
-        self._rivals = Rivals()
+        self._conflicts = ConflictingClaims()
 
     @property
-    def broken(self) -> bool:
-        """Say whether the disk has failed: it won't vote until a restart."""
-        return self._log is not None and self._log.broken
+    def disk_failed(self) -> bool:
+        """Return whether the disk failed; no votes then until a restart."""
+        return self._log is not None and self._log.failed
 
     async def load(self) -> None:
-        """Take up what the disk kept; a keeper that was ready is again."""
+        """Restore the state from the log; a ready replica is ready again."""
         if self._log is None:
             return
         try:
             entries = await self._log.load()
         except DiskError:
-            self._log.broken = True
-            self._step_aside()
+            self._log.failed = True
+            self._stop_voting()
             return
         for entry in entries:
             match entry:
                 case Put(record=record):
-                    self.hold(record)
+                    self.merge(record)
                 case Removed(client_id=client_id, key=key):
-                    self.book.remove((client_id, key))
-                case Entered(epoch=epoch, formed_at=formed_at):
+                    self.table.remove((client_id, key))
+                case EpochEntered(epoch=epoch, formed_at=formed_at):
                     self.epoch = epoch
                     self._formed_at = formed_at
                     self._new_clients.clear()
-                case ClientSeen(client_id=client_id):
+                case ClientCreated(client_id=client_id):
                     self._new_clients.add(client_id)
         self.ready = self.epoch != NO_EPOCH
 
     async def vote(self, call: VoteCall) -> VoteReply:
-        """Vote for an owner, unless another has the vote."""
+        """Vote for an owner unless the vote went to another one."""
         record = call.record
-        known = self.book.get(record.claim_id)
-        if not self.ready or call.keepers != self._keepers:
+        known = self.table.get(record.claim_id)
+        if not self.ready or call.keepers != self._replica_ids:
             return self._reply(VoteOutcome.NOT_READY, known)
         if known is not None:
-            return await self._vote_again(record, known)
+            return await self._vote_on_known(record, known)
         if not self._is_provably_new(record):
             return self._reply(VoteOutcome.UNKNOWN, None)
-        if self.book.is_full():
+        if self.table.is_full():
             return self._reply(VoteOutcome.FULL, None)
-        # The retention is counted on the keeper's clock, not the caller's
-        # entry VM's: a wrong one there must not make it forget early.
+        # The retention is measured by this VM's clock: a wrong clock of the
+        # entry VM must not make the claim expire early.
         now = self._clock.wall()
         record = msgspec.structs.replace(record, taken_at=now)
-        self.book.put(record)
-        return await self._give(record)
+        self.table.put(record)
+        return await self._grant(record)
 
-    async def _vote_again(
+    async def _vote_on_known(
         self, record: ClaimRecord, known: ClaimRecord
     ) -> VoteReply:
         if known.owner != record.owner:
             return self._reply(VoteOutcome.TAKEN, known)
-        rivals = self._rivals.of(record.claim_id)
-        if rivals:
-            # Any of them may have had the vote that was forgotten.
-            return self._reply(VoteOutcome.TAKEN, rivals[0])
-        return await self._give(known)
+        conflicts = self._conflicts.get(record.claim_id)
+        if conflicts:
+            # The vote that was lost may have been for any of them.
+            return self._reply(VoteOutcome.TAKEN, conflicts[0])
+        return await self._grant(known)
 
-    def hold(self, record: ClaimRecord) -> bool:
-        """Hold a claim that others know of, beside any that is held.
+    def merge(self, record: ClaimRecord) -> bool:
+        """Store a claim known to another replica, beside conflicting ones.
 
-        :returns: whether it was news
+        :returns: whether anything changed
         """
-        known = self.book.get(record.claim_id)
+        known = self.table.get(record.claim_id)
         if known == record:
             return False
         if known is None or known.owner == record.owner:
-            self.book.put(record)
+            self.table.put(record)
             return True
         if known.state is not ClaimState.GRANTED:
-            # It has had effects, so no other one was granted.
+            # The known request may have run, so no other was granted.
             return False
         if record.state is ClaimState.GRANTED:
-            return self._rivals.add(record)
-        self.book.put(record)
-        self._rivals.clear(record.claim_id)
+            return self._conflicts.add(record)
+        self.table.put(record)
+        self._conflicts.clear(record.claim_id)
         return True
 
     async def settle(self, call: SettleCall) -> None:
-        """Note how a run ended, or forget a claim that was given back."""
-        known = self.book.get((call.client_id, call.key))
+        """Record the end of a run, or remove a claim that is released."""
+        known = self.table.get((call.client_id, call.key))
         if known is None:
             return
         if known.owner != call.owner:
-            rival = self._rivals.take(known.claim_id, call.owner)
-            if rival is None or call.state is None:
+            conflict = self._conflicts.pop(known.claim_id, call.owner)
+            if conflict is None or call.state is None:
                 return
-            known = rival
+            known = conflict
         if call.state is None:
-            entry = self._forget(known)
+            entry = self._release(known)
         else:
-            self._rivals.clear(known.claim_id)
+            self._conflicts.clear(known.claim_id)
             record = msgspec.structs.replace(
                 known,
                 state=call.state,
@@ -183,30 +183,31 @@
                 headers=call.headers,
                 body=call.body,
             )
-            self.book.put(record)
+            self.table.put(record)
             entry = Put(record=record)
-        await self._write(entry)
-
-    def _forget(self, record: ClaimRecord) -> Entry:
-        """Forget a claim that was given back; a rival takes its place."""
-        rival = self._rivals.take_any(record.claim_id)
-        if rival is not None:
-            self.book.put(rival)
-            return Put(record=rival)
-        self.book.remove(record.claim_id)
+        await self._append(entry)
+
+    def _release(self, record: ClaimRecord) -> Entry:
+        """Replace a released claim by a conflicting one, else remove it."""
+        conflict = self._conflicts.pop_any(record.claim_id)
+        if conflict is not None:
+            self.table.put(conflict)
+            return Put(record=conflict)
+        self.table.remove(record.claim_id)
         return Removed(client_id=record.client_id, key=record.key)
 
-    def answer_recovery(self, call: RecoverCall) -> RecoverReply:
-        """Tell a keeper that forgot what this one knows.
+    def handle_recovery(self, call: RecoverCall) -> RecoverReply:
+        """Send a page of this replica's claims to a recovering replica.
 
-        Its start is noted first: a vote given after this names it, and so
-        can't count beside one that it gave before it forgot.
+        Its incarnation is recorded first: votes that this replica sends from
+        now on name it, so they can't count together with a vote that the
+        other one sent before its restart.
         """
         known = self.incarnations.get(call.vm_id, 0)
         self.incarnations[call.vm_id] = max(known, call.incarnation)
-        records, last = self.book.page(call.after, PAGE_RECORDS)
+        records, last = self.table.page(call.after, RECORDS_PER_PAGE)
         for record in list(records):
-            records += self._rivals.of(record.claim_id)
+            records += self._conflicts.get(record.claim_id)
         return RecoverReply(
             vm_id=self._identity.vm_id,
             incarnation=self._identity.incarnation,
@@ -219,7 +220,7 @@
             last=last,
         )
 
-    async def adopt(
+    async def adopt_state(
         self,
         epoch: Epoch,
         records: list[ClaimRecord],
@@ -227,31 +228,31 @@
         formed_at: float,
         new_clients: set[str],
     ) -> None:
-        """Become ready with what enough others knew.
+        """Take over the state of enough other replicas and become ready.
 
         :param formed_at: wall time at which the epoch began
-        :param new_clients: created in the epoch, as all of the others know
+        :param new_clients: clients created in the epoch, known to all others
         """
         self._new_clients = set(new_clients)
         for record in records:
-            if self.hold(record):
-                await self._write(Put(record=record))
+            if self.merge(record):
+                await self._append(Put(record=record))
         self.epoch = epoch
         self._formed_at = formed_at
-        await self._write(Entered(epoch=epoch, formed_at=formed_at))
+        await self._append(EpochEntered(epoch=epoch, formed_at=formed_at))
         for client_id in sorted(new_clients):
-            await self._write(ClientSeen(client_id=client_id))
-        self.ready = not self.broken
+            await self._append(ClientCreated(client_id=client_id))
+        self.ready = not self.disk_failed
         self._timeline.record("claims.keeper_ready", epoch=epoch.number)
 
-    def note_incarnations(self, incarnations: dict[str, int]) -> None:
-        """Take in which starts of the others are known."""
+    def merge_incarnations(self, incarnations: dict[str, int]) -> None:
+        """Keep the latest incarnation known of each replica."""
         for vm_id, incarnation in incarnations.items():
             known = self.incarnations.get(vm_id, 0)
             self.incarnations[vm_id] = max(known, incarnation)
 
-    async def enter(self, call: EpochCall) -> EpochReply:
-        """Enter an epoch that is newer than this keeper's."""
+    async def enter_epoch(self, call: EpochCall) -> EpochReply:
+        """Enter an epoch if it is newer than the current one."""
         if call.epoch <= self.epoch:
             return EpochReply(
                 accepted=call.epoch == self.epoch, epoch=self.epoch
@@ -260,31 +261,33 @@
         self.epoch = call.epoch
         self._formed_at = call.formed_at
         self.ready = False
-        await self._write(Entered(epoch=call.epoch, formed_at=call.formed_at))
-        self.ready = not self.broken
+        await self._append(
+            EpochEntered(epoch=call.epoch, formed_at=call.formed_at)
+        )
+        self.ready = not self.disk_failed
         self._timeline.record("claims.epoch_entered", epoch=call.epoch.number)
         return EpochReply(accepted=self.ready, epoch=self.epoch)
 
-    async def note_new_client(self, client_id: str) -> None:
-        """Note that a client was created in this epoch.
+    async def record_new_client(self, client_id: str) -> None:
+        """Record that a client was created in this epoch.
 
-        None of its keys can be from before.
+        None of its keys can be from an earlier epoch.
         """
         if self.ready and client_id not in self._new_clients:
             self._new_clients.add(client_id)
-            await self._write(ClientSeen(client_id=client_id))
+            await self._append(ClientCreated(client_id=client_id))
 
-    async def tidy(self) -> None:
-        """Forget what is over the retention, and keep the file short."""
+    async def clean_up(self) -> None:
+        """Remove expired claims and compact the log if it has grown."""
         oldest = self._clock.wall() - RETENTION_SECONDS
-        for claim_id in self.book.expire(oldest):
-            self._rivals.clear(claim_id)
+        for claim_id in self.table.expire(oldest):
+            self._conflicts.clear(claim_id)
         if self._log is None or not self._log.needs_compaction():
             return
         try:
             await self._log.compact(self._entries())
         except DiskError:
-            self._step_aside()
+            self._stop_voting()
 
     def _is_provably_new(self, record: ClaimRecord) -> bool:
         if self._clock.wall() - self._formed_at > RETENTION_SECONDS:
@@ -293,44 +296,46 @@
             return True
         return is_ticket_of(record.key, self.epoch)
 
-    async def _give(self, record: ClaimRecord) -> VoteReply:
+    async def _grant(self, record: ClaimRecord) -> VoteReply:
         epoch = self.epoch
-        if not await self._write(Put(record=record)):
+        if not await self._append(Put(record=record)):
             return self._reply(VoteOutcome.NOT_READY, None)
-        # While it was synced, this keeper may have entered another epoch or
-        # given the claim back.
-        current = self.book.get(record.claim_id)
+        # During the sync this replica may have entered another epoch, or the
+        # claim may have been released.
+        current = self.table.get(record.claim_id)
         if self.epoch != epoch or current is None:
             return self._reply(VoteOutcome.NOT_READY, None)
         if current.owner != record.owner:
             return self._reply(VoteOutcome.TAKEN, current)
         return self._reply(VoteOutcome.GRANTED, current)
 
-    async def _write(self, entry: Entry) -> bool:
+    async def _append(self, entry: Entry) -> bool:
         if self._log is None:
             return True
         try:
             await self._log.append(entry)
         except DiskError:
-            self._step_aside()
+            self._stop_voting()
             return False
         return True
 
-    def _step_aside(self) -> None:
-        # What was not synced may be gone after a restart: a vote on it
-        # would be forgotten, and the request could run twice.
-        logger.error("the disk failed: this VM keeps no claims any more")
+    def _stop_voting(self) -> None:
+        # A vote that is not synced may be lost in a restart, and the request
+        # could then run twice.
+        logger.error(
+            "disk failed: this claim replica does not vote until a restart"
+        )
         self._timeline.record("claims.keeper_stepped_aside")
         self.ready = False
 
     def _entries(self) -> Iterator[Entry]:
-        yield Entered(epoch=self.epoch, formed_at=self._formed_at)
+        yield EpochEntered(epoch=self.epoch, formed_at=self._formed_at)
         for client_id in self._new_clients:
-            yield ClientSeen(client_id=client_id)
-        for record in self.book.records():
+            yield ClientCreated(client_id=client_id)
+        for record in self.table.records():
             yield Put(record=record)
-            for rival in self._rivals.of(record.claim_id):
-                yield Put(record=rival)
+            for conflict in self._conflicts.get(record.claim_id):
+                yield Put(record=conflict)
 
     def _reply(
         self, outcome: VoteOutcome, record: ClaimRecord | None
--- a/burdockdrum/claims/log.py
+++ b/burdockdrum/claims/log.py
@@ -1,7 +1,7 @@
-"""Claims on a disk: synced before they count.
+"""The write-ahead log of a claim replica.
 
-A file of records, each with its length and checksum, to which changes are
-appended; a record that was torn by a loss of power ends the file.
+An append-only file of records, each with length and checksum. Reading stops
+at the first record that is incomplete or corrupt, as after a power loss.
 """
 
 import asyncio
@@ -17,55 +17,55 @@
 
 FILE = "claims-log"
 NEW_FILE = "claims-log-new"
-COMPACT_BYTES = 4 * 1024 * 1024
-_HEAD_BYTES = 8
+MIN_COMPACTION_BYTES = 4 * 1024 * 1024
+_HEADER_BYTES = 8
 
 
 class Put(msgspec.Struct, frozen=True, tag="put"):
-    """A claim was taken, or more is known of it."""
+    """A claim was granted or changed."""
 
     record: ClaimRecord
 
 
 class Removed(msgspec.Struct, frozen=True, tag="removed"):
-    """A claim was given back."""
+    """A claim was released."""
 
     client_id: str
     key: str
 
 
-class Entered(msgspec.Struct, frozen=True, tag="entered"):
+class EpochEntered(msgspec.Struct, frozen=True, tag="entered"):
     """An epoch was entered."""
 
     epoch: Epoch
     formed_at: float
 
 
-class ClientSeen(msgspec.Struct, frozen=True, tag="client"):
-    """A client was seen to be created, at a wall time."""
+class ClientCreated(msgspec.Struct, frozen=True, tag="client"):
+    """A client was created in the current epoch."""
 
     client_id: str
 
 
-Entry = Put | Removed | Entered | ClientSeen
+Entry = Put | Removed | EpochEntered | ClientCreated
 
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER = msgspec.msgpack.Decoder(Entry)
 
 
 class ClaimLog:
-    """The file of one keeper.
+    """The log file of one replica.
 
-    After a failed sync it refuses everything: the kernel may have dropped
-    what was written and report success the next time.
+    After a failed sync it rejects all appends: the kernel may have dropped
+    the data and still report success for the next sync.
     """
 
     def __init__(
-        self, *, disk: Disk, compact_bytes: int = COMPACT_BYTES
+        self, *, disk: Disk, compact_bytes: int = MIN_COMPACTION_BYTES
     ) -> None:
-        """Create a log over a disk that is not read yet.
+        """Create a log whose file has not been read yet.
 
-        :param compact_bytes: the least size at which it is compacted
+        :param compact_bytes: the smallest file size that is compacted
         """
         self._disk = disk
         self._lock = asyncio.Lock()
@@ -74,13 +74,13 @@
         self._flushed = 0
         self._size = 0
         self._compact_bytes = compact_bytes
-        self._limit = compact_bytes
-        self.broken = False
+        self._compaction_size = compact_bytes
+        self.failed = False
 
     async def load(self) -> list[Entry]:
-        """Read the entries that last, and cut off a torn end.
+        """Read all valid entries and truncate the file after them.
 
-        :raises DiskError: if the file can't be used
+        :raises DiskError: if the file can't be read or written
         """
         content = await self._disk.read(FILE)
         if content is None:
@@ -93,13 +93,13 @@
             await self._disk.truncate(FILE, size)
             await self._disk.sync(FILE)
         self._size = size
-        self._limit = max(self._compact_bytes, 2 * size)
+        self._compaction_size = max(self._compact_bytes, 2 * size)
         return entries
 
     async def append(self, entry: Entry) -> None:
-        """Add an entry and sync; those that come together share a sync.
+        """Append an entry and sync; concurrent calls share a sync.
 
-        :raises DiskError: if it may not last
+        :raises DiskError: if the entry may not be durable
         """
         self._pending.append(_encode(entry))
         self._written += 1
@@ -107,19 +107,19 @@
         async with self._lock:
             if self._flushed >= number:
                 return
-            if self.broken:
-                raise DiskError("a sync failed before")
+            if self.failed:
+                raise DiskError("an earlier sync of the claim log failed")
             await self._flush()
 
     def needs_compaction(self) -> bool:
-        """Say whether the file has grown far over what it holds."""
-        return self._size > self._limit
+        """Return whether the file has outgrown its compaction size."""
+        return self._size > self._compaction_size
 
     async def compact(self, entries: Iterable[Entry]) -> None:
         """Replace the file by one with only these entries.
 
-        The old file stays until the new one lasts, so a loss of power in
-        between harms nothing.
+        The old file stays until the new one is durable, so a power loss in
+        between loses nothing.
 
         :raises DiskError: if the disk fails
         """
@@ -132,10 +132,10 @@
                 await self._disk.rename(NEW_FILE, FILE)
                 await self._disk.sync_folder()
             except BaseException:
-                self.broken = True
+                self.failed = True
                 raise
             self._size = len(content)
-            self._limit = max(self._compact_bytes, 2 * len(content))
+            self._compaction_size = max(self._compact_bytes, 2 * len(content))
 
     async def _flush(self) -> None:
         pending, self._pending = self._pending, []
@@ -145,9 +145,9 @@
             await self._disk.append(FILE, content)
             await self._disk.sync(FILE)
         except BaseException:
-            # Cancelled half-way, it is not known what lasts either: the
-            # entries of all who wait for this sync are in it.
-            self.broken = True
+            # After a cancellation, too, the entries of every caller that
+            # waits for this sync may not be durable.
+            self.failed = True
             raise
         self._size += len(content)
         self._flushed = number
@@ -162,10 +162,10 @@
 def _decode_all(content: bytes) -> tuple[list[Entry], int]:
     entries: list[Entry] = []
     start = 0
-    while start + _HEAD_BYTES <= len(content):
+    while start + _HEADER_BYTES <= len(content):
         length = content[start : start + 4]
-        end = start + _HEAD_BYTES + int.from_bytes(length, "big")
-        body = content[start + _HEAD_BYTES : end]
+        end = start + _HEADER_BYTES + int.from_bytes(length, "big")
+        body = content[start + _HEADER_BYTES : end]
         checksum = zlib.crc32(length + body).to_bytes(4, "big")
         if end > len(content) or checksum != content[start + 4 : start + 8]:
             break
--- a/burdockdrum/claims/messages.py
+++ b/burdockdrum/claims/messages.py
@@ -1,4 +1,4 @@
-"""What entry VMs and keepers of claims tell each other."""
+"""Messages between entry VMs, coordinators and claim replicas."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class ClaimState(enum.Enum):
-    """What is known of the run that holds a claim."""
+    """The state of the run that holds a claim."""
 
     GRANTED = "granted"
     LOST = "lost"
@@ -16,11 +16,11 @@
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """One claim.
+    """A claim of one request on an idempotency key.
 
-    ``owner`` is the id of the request that holds it, ``taken_at`` wall time
-    and ``seconds`` how long the run may take. An answer is kept while there
-    is room; ``body`` is None where there is none.
+    ``owner`` is the id of the request, ``taken_at`` the wall time at which
+    the claim was granted and ``seconds`` the longest time that the run may
+    take. ``body`` is None if no answer is stored.
     """
 
     client_id: str
@@ -37,12 +37,12 @@
 
     @property
     def claim_id(self) -> tuple[str, str]:
-        """Return what names the claim."""
+        """Return the client id and key, which identify the claim."""
         return (self.client_id, self.key)
 
 
 class Epoch(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """A time through which the keepers together have forgotten nothing."""
+    """A period in which the replicas together have lost no claim."""
 
     number: int
     former: str
@@ -52,7 +52,7 @@
 
 
 class VoteOutcome(enum.Enum):
-    """What a keeper says to a request for a claim."""
+    """A replica's decision on a vote request."""
 
     GRANTED = "granted"
     TAKEN = "taken"
@@ -62,14 +62,14 @@
 
 
 class VoteCall(Message, frozen=True, kw_only=True):
-    """Ask a keeper for its vote; ``keepers`` is the group asked."""
+    """Request a vote; ``keepers`` are the ids of all replicas, sorted."""
 
     keepers: list[str]
     record: ClaimRecord
 
 
 class VoteReply(Message, frozen=True, kw_only=True):
-    """A keeper's vote, and the starts of the others that it knows."""
+    """A vote, with the incarnations of other replicas known to the voter."""
 
     outcome: VoteOutcome
     vm_id: str
@@ -80,7 +80,7 @@
 
 
 class SettleCall(Message, frozen=True, kw_only=True):
-    """Tell how a run ended; without a state the claim is given back."""
+    """Report how a run ended; a ``state`` of None releases the claim."""
 
     client_id: str
     key: str
@@ -94,13 +94,13 @@
 
 
 class SettleReply(Message, frozen=True, kw_only=True):
-    """The end of a run was noted."""
+    """Confirm that the end of a run was recorded."""
 
 
 class RecoverCall(Message, frozen=True, kw_only=True):
-    """A keeper that remembers nothing asks another for what it knows.
+    """Request a page of claims for a replica that recovers.
 
-    ``after`` is the place from which the next page begins.
+    ``after`` is the position at which the page begins.
     """
 
     vm_id: str
@@ -109,7 +109,7 @@
 
 
 class RecoverReply(Message, frozen=True, kw_only=True):
-    """One page of a keeper's claims; ``last`` is None after the end."""
+    """A page of claims; ``last`` is the next position, None at the end."""
 
     vm_id: str
     incarnation: int
@@ -123,27 +123,29 @@
 
 
 class EpochCall(Message, frozen=True, kw_only=True):
-    """Begin an epoch, as too much was forgotten in the one before."""
+    """Begin a new epoch, as too many replicas lost their claims."""
 
     epoch: Epoch
     formed_at: float
 
 
 class EpochReply(Message, frozen=True, kw_only=True):
-    """Whether a keeper has entered an epoch."""
+    """Whether a replica has entered the epoch."""
 
     accepted: bool
     epoch: Epoch
 
 
-class TakeCall(Message, frozen=True, kw_only=True):
-    """Ask a VM of the client's home region to obtain a claim."""
+class AcquireCall(Message, frozen=True, kw_only=True):
+    """Request a claim from a coordinator in the client's home region."""
+
+    wire_kind = "claims.TakeCall"
 
     record: ClaimRecord
 
 
-class TakeOutcome(enum.Enum):
-    """What became of the attempt to obtain a claim."""
+class AcquireOutcome(enum.Enum):
+    """The result of an attempt to acquire a claim."""
 
     GRANTED = "granted"
     TAKEN = "taken"
@@ -152,18 +154,20 @@
     UNREACHABLE = "unreachable"
 
 
-class TakeReply(Message, frozen=True, kw_only=True):
-    """What became of the attempt, and the claim that stands in the way."""
+class AcquireReply(Message, frozen=True, kw_only=True):
+    """The result of the attempt, and the claim that prevents a grant."""
+
+    wire_kind = "claims.TakeReply"
 
-    outcome: TakeOutcome
+    outcome: AcquireOutcome
     record: ClaimRecord | None = None
 
 
 class TicketCall(Message, frozen=True, kw_only=True):
-    """Ask a VM of the client's home region for a ticket."""
+    """Request a ticket from a VM of the client's home region."""
 
 
 class TicketReply(Message, frozen=True, kw_only=True):
-    """A key of the present epoch, or None where no keeper is ready."""
+    """A key of the current epoch, or None if no replica is ready."""
 
     ticket: str | None
--- a/burdockdrum/claims/recovery.py
+++ b/burdockdrum/claims/recovery.py
@@ -1,8 +1,8 @@
-"""How a keeper that remembers nothing becomes ready to vote."""
+"""Recover a claim replica that lost its memory, until it may vote again."""
 
 import asyncio
 
-from burdockdrum.claims.keeper import Keeper
+from burdockdrum.claims.keeper import ClaimReplica
 from burdockdrum.claims.messages import ClaimRecord
 from burdockdrum.claims.messages import Epoch
 from burdockdrum.claims.messages import EpochCall
@@ -14,47 +14,46 @@
 from burdockdrum.peers import Peers
 from burdockdrum.ports import Clock
 
-RETRY_SECONDS = 0.5
-CHECK_SECONDS = 5.0
-CALL_SECONDS = 1.0
-# How long a keeper looks for others that remember before a new epoch makes
-# the keys from before unusable.
-PATIENCE_SECONDS = 30.0
-# Behind every place, to ask for no claims.
-_END = 1 << 60
+RETRY_INTERVAL_SECONDS = 0.5
+CHECK_INTERVAL_SECONDS = 5.0
+CALL_TIMEOUT_SECONDS = 1.0
+# How long a replica tries to recover from others before it begins a new
+# epoch, in which keys of earlier ones are refused.
+NEW_EPOCH_DELAY_SECONDS = 30.0
+# Beyond every position, to query the state without any claims.
+_AFTER_LAST = 1 << 60
 
 
 def majority(group_size: int) -> int:
-    """Return how many votes grant a claim."""
+    """Return the number of votes that grants a claim."""
     return group_size // 2 + 1
 
 
-def responders_needed(group_size: int) -> int:
-    """Return how many others must remember for a keeper to recover.
+def recovery_quorum(group_size: int) -> int:
+    """Return how many ready replicas one needs to recover from.
 
-    A claim has the votes of a majority; the one that forgot may be among
-    them, so each set of the others as large as the rest of a majority has
-    to meet those that answered.
+    The replica that recovers may have been part of any majority. So the
+    ready ones must include a member of the rest of each such majority.
     """
     return group_size - majority(group_size) + 1
 
 
 class Recovery:
-    """Bring a keeper back with what the others of its group remember."""
+    """Recovers a replica with the claims known to the other replicas."""
 
     def __init__(
         self,
         *,
-        keeper: Keeper,
+        replica: ClaimReplica,
         peers: Peers,
         clock: Clock,
         addresses_by_id: dict[str, str],
     ) -> None:
         """Create a recovery that has not begun.
 
-        :param addresses_by_id: control addresses of the whole group
+        :param addresses_by_id: control addresses of all replicas
         """
-        self._keeper = keeper
+        self._replica = replica
         self._peers = peers
         self._clock = clock
         self._own = peers.identity.vm_id
@@ -66,48 +65,48 @@
         }
 
     async def run(self) -> None:
-        """Recover, and again whenever the others have moved on.
+        """Recover, and again whenever the others entered a newer epoch.
 
-        A keeper whose disk failed stays away: it could only disturb the
-        others with new epochs.
+        Ends if the disk failed: a replica that can't vote must not force the
+        others into new epochs.
         """
-        while not self._keeper.broken:
+        while not self._replica.disk_failed:
             await self._recover()
-            await self._clock.sleep(CHECK_SECONDS)
-            found = await self._ask_all(after=_END)
+            await self._clock.sleep(CHECK_INTERVAL_SECONDS)
+            found = await self._query_all(after=_AFTER_LAST)
             newest = max((one.epoch for one in found), default=NO_EPOCH)
-            if newest > self._keeper.epoch:
-                # They began an epoch without this keeper: its votes would
-                # not count beside theirs.
-                self._keeper.ready = False
+            if newest > self._replica.epoch:
+                # Votes from an older epoch don't count beside theirs.
+                self._replica.ready = False
 
     async def _recover(self) -> None:
         started_at = self._clock.monotonic()
         rounds = 0
-        while not self._keeper.ready and not self._keeper.broken:
-            found = await self._ask_all(after=0)
-            if self._keeper.ready or await self._try_to_adopt(found):
+        while not self._replica.ready and not self._replica.disk_failed:
+            found = await self._query_all(after=0)
+            if self._replica.ready or await self._try_to_adopt(found):
                 return
-            waited = self._clock.monotonic() - started_at
-            # Once may be the moment in which another one enters an epoch.
+            elapsed = self._clock.monotonic() - started_at
+            # A single round may hit the moment in which another replica
+            # enters an epoch.
             rounds = rounds + 1 if len(found) == len(self._others) else 0
-            patient = waited < PATIENCE_SECONDS
-            if rounds >= 2 or not self._others or not patient:
-                await self._form_epoch(found)
-            if not self._keeper.ready:
-                await self._clock.sleep(RETRY_SECONDS)
+            may_wait = elapsed < NEW_EPOCH_DELAY_SECONDS
+            if rounds >= 2 or not self._others or not may_wait:
+                await self._begin_epoch(found)
+            if not self._replica.ready:
+                await self._clock.sleep(RETRY_INTERVAL_SECONDS)
 
-    async def _try_to_adopt(self, found: list["_Found"]) -> bool:
+    async def _try_to_adopt(self, found: list["_ReplicaState"]) -> bool:
         newest = max((f.epoch for f in found), default=NO_EPOCH)
         ready = [f for f in found if f.ready and f.epoch == newest]
-        if newest < self._keeper.epoch:
+        if newest < self._replica.epoch:
             return False
-        if len(ready) < responders_needed(self._size):
+        if len(ready) < recovery_quorum(self._size):
             return False
         for one in ready:
-            self._keeper.note_incarnations(one.incarnations)
+            self._replica.merge_incarnations(one.incarnations)
         records = [record for one in ready for record in one.records]
-        await self._keeper.adopt(
+        await self._replica.adopt_state(
             newest,
             records,
             formed_at=max(one.formed_at for one in ready),
@@ -115,41 +114,44 @@
         )
         return True
 
-    async def _form_epoch(self, found: list["_Found"]) -> None:
-        """Begin an epoch with a majority, which ends the one before."""
+    async def _begin_epoch(self, found: list["_ReplicaState"]) -> None:
+        """Begin a new epoch if a majority accepts it."""
         if 1 + len(found) < majority(self._size):
             return
         newest = max((f.epoch for f in found), default=NO_EPOCH)
-        newest = max(newest, self._keeper.epoch)
+        newest = max(newest, self._replica.epoch)
         call = EpochCall(
             epoch=Epoch(newest.number + 1, self._own),
             formed_at=self._clock.wall(),
         )
         for one in found:
             for record in one.records:
-                self._keeper.hold(record)
+                self._replica.merge(record)
         accepted = await asyncio.gather(
-            *(self._call_epoch(address, call) for address in self._addresses())
+            *(
+                self._propose_epoch(address, call)
+                for address in self._addresses()
+            )
         )
         if 1 + sum(accepted) >= majority(self._size):
-            await self._keeper.enter(call)
+            await self._replica.enter_epoch(call)
 
-    async def _call_epoch(self, address: str, call: EpochCall) -> bool:
+    async def _propose_epoch(self, address: str, call: EpochCall) -> bool:
         try:
             reply = await self._peers.call(
-                address, call, EpochReply, timeout=CALL_SECONDS
+                address, call, EpochReply, timeout=CALL_TIMEOUT_SECONDS
             )
         except CallFailed:
             return False
         return reply.accepted
 
-    async def _ask_all(self, *, after: int) -> list["_Found"]:
+    async def _query_all(self, *, after: int) -> list["_ReplicaState"]:
         found = await asyncio.gather(
-            *(self._ask(address, after) for address in self._addresses())
+            *(self._query(address, after) for address in self._addresses())
         )
         return [one for one in found if one is not None]
 
-    async def _ask(self, address: str, start: int) -> "_Found | None":
+    async def _query(self, address: str, start: int) -> "_ReplicaState | None":
         records: list[ClaimRecord] = []
         after: int | None = start
         reply: RecoverReply | None = None
@@ -161,25 +163,25 @@
             )
             try:
                 page = await self._peers.call(
-                    address, call, RecoverReply, timeout=CALL_SECONDS
+                    address, call, RecoverReply, timeout=CALL_TIMEOUT_SECONDS
                 )
             except CallFailed:
                 return None
-            # One that itself restarted in between has other places.
+            # A replica that restarted between two pages has new positions.
             if reply is not None and page.incarnation != reply.incarnation:
                 return None
             reply = page
             records += page.records
             after = page.last
         assert reply is not None
-        return _Found(reply, records)
+        return _ReplicaState(reply, records)
 
     def _addresses(self) -> list[str]:
         return list(self._others.values())
 
 
-class _Found:
-    """What one other keeper knows."""
+class _ReplicaState:
+    """The state of another replica, as read by a recovery."""
 
     def __init__(self, last: RecoverReply, records: list[ClaimRecord]) -> None:
         self.ready = last.ready
--- a/burdockdrum/claims/refusals.py
+++ b/burdockdrum/claims/refusals.py
@@ -1,58 +1,59 @@
-"""Tell a caller what is known of the run that holds its key."""
+"""Replay the stored answer of a key, or refuse with the claim's state."""
 
 from burdockdrum.claims.coordinator import StoredAnswer
+from burdockdrum.claims.messages import AcquireOutcome
+from burdockdrum.claims.messages import AcquireReply
 from burdockdrum.claims.messages import ClaimRecord
 from burdockdrum.claims.messages import ClaimState
-from burdockdrum.claims.messages import TakeOutcome
-from burdockdrum.claims.messages import TakeReply
 from burdockdrum.verdicts import Refusal
 from burdockdrum.verdicts import RefusalCode
 from burdockdrum.verdicts import Verdict
 
-PROGRESS_RETRY_SECONDS = 1.0
+IN_PROGRESS_RETRY_SECONDS = 1.0
 
 
-def explain(
-    reply: TakeReply, wanted: ClaimRecord, *, now: float
+def replay_or_refuse(
+    reply: AcquireReply, wanted: ClaimRecord, *, now: float
 ) -> StoredAnswer:
-    """Return the answer that a key has brought already.
+    """Return the stored answer of a key for which no claim was granted.
 
     :param now: wall time
-    :raises Refusal: if there is none to give
+    :raises Refusal: if no answer is stored
     """
     known = reply.record
-    if reply.outcome is TakeOutcome.TAKEN and known is not None:
-        return _explain_taken(known, wanted, now=now)
+    if reply.outcome is AcquireOutcome.TAKEN and known is not None:
+        return _replay_held(known, wanted, now=now)
     match reply.outcome:
-        case TakeOutcome.UNKNOWN:
+        case AcquireOutcome.UNKNOWN:
             raise _refuse(
                 RefusalCode.CLAIM_UNKNOWN,
-                "the keepers of claims have restarted and can't tell whether "
-                "this key was used before; get one from POST /v1/tickets "
-                "for a request that was never sent",
+                "the claim replicas have restarted and can't tell whether "
+                "this key was used before; for a request that was never sent "
+                "get a key from POST /v1/tickets",
             )
-        case TakeOutcome.FULL:
+        case AcquireOutcome.FULL:
             raise _refuse(
                 RefusalCode.OVERLOADED,
-                "the keepers of claims have no room for another key",
+                "the claim replicas have reached their limit of keys",
                 retry_after=60.0,
             )
         case _:
             raise _refuse(
                 RefusalCode.CLAIM_UNREACHABLE,
-                "too few keepers of claims in the client's home region "
-                "answered; not run here, but an earlier copy may have run",
+                "too few claim replicas in the client's home region "
+                "replied; this request was not run, but an earlier one with "
+                "the same key may have run",
                 retry_after=2.0,
             )
 
 
-def _explain_taken(
+def _replay_held(
     known: ClaimRecord, wanted: ClaimRecord, *, now: float
 ) -> StoredAnswer:
     if known.fingerprint != wanted.fingerprint:
         raise _refuse(
             RefusalCode.CLAIM_MISMATCH,
-            "the key was used for a request with another content",
+            "the key was used for a request with different content",
         )
     if known.state is ClaimState.RAN:
         if known.body is not None:
@@ -64,19 +65,20 @@
             )
         raise _refuse(
             RefusalCode.CLAIM_UNKNOWN,
-            "the request ran, and its answer is not kept any more",
+            "the request ran, but its answer is no longer stored",
             verdict=Verdict.RAN,
         )
     late = now > known.taken_at + known.seconds
     if known.state is ClaimState.LOST or late:
         raise _refuse(
             RefusalCode.ENDPOINT_LOST,
-            "the first run under this key was lost; it won't run again",
+            "the request with this key was lost while it ran; it will not "
+            "run again",
         )
     raise _refuse(
         RefusalCode.CLAIM_IN_PROGRESS,
-        "the request is being run under this key; ask again for its answer",
-        retry_after=PROGRESS_RETRY_SECONDS,
+        "a request with this key is still running; retry for its answer",
+        retry_after=IN_PROGRESS_RETRY_SECONDS,
     )
 
 
--- a/burdockdrum/claims/services.py
+++ b/burdockdrum/claims/services.py
@@ -1,9 +1,9 @@
-"""Name the services of this package."""
+"""Register the services of this package with the kernel."""
 
 import random
 
 from burdockdrum.claims.claims import Claims
-from burdockdrum.claims.keeper import Keeper
+from burdockdrum.claims.keeper import ClaimReplica
 from burdockdrum.claims.log import ClaimLog
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.kernel import Kernel
@@ -17,18 +17,18 @@
 
 
 def add_services(kernel: Kernel) -> None:
-    """Name the claims."""
+    """Register the claim service."""
     kernel.add("claims", _build_claims)
 
 
 def _build_claims(kernel: Kernel) -> Claims:
     settings = kernel.find("settings", Settings)
-    # Without keepers of the region's own, the control VMs of all regions
-    # keep its claims: safe, but not on the smaller side of a cut.
-    keepers = settings.claims.keepers or settings.control.members
-    keeper: Keeper | None = None
-    if settings.vm.id in keepers:
-        keeper = _build_keeper(kernel, sorted(keepers))
+    # If the region has no claim replicas of its own, the control VMs of all
+    # regions serve: safe, but unavailable in a minority partition.
+    addresses_by_id = settings.claims.keepers or settings.control.members
+    replica: ClaimReplica | None = None
+    if settings.vm.id in addresses_by_id:
+        replica = _build_replica(kernel, sorted(addresses_by_id))
     return Claims(
         peers=kernel.find("peers", Peers),
         clock=kernel.find("clock", Clock),
@@ -36,20 +36,20 @@
         timeline=kernel.find("timeline", Timeline),
         vms=kernel.find("vms", VmDirectory),
         configuration=kernel.find("configuration", ConfigurationService),
-        keeper=keeper,
-        addresses_by_id=keepers,
+        replica=replica,
+        addresses_by_id=addresses_by_id,
     )
 
 
-def _build_keeper(kernel: Kernel, keepers: list[str]) -> Keeper:
+def _build_replica(kernel: Kernel, replica_ids: list[str]) -> ClaimReplica:
     log: ClaimLog | None = None
     if kernel.has("disk"):
-        # Disk is a protocol: the embedder's own are not checked.
+        # Disk is a protocol: an embedder's own class is not checked.
         log = ClaimLog(disk=kernel.find("disk", Disk))
-    return Keeper(
+    return ClaimReplica(
         identity=kernel.find("identity", VmIdentity),
         clock=kernel.find("clock", Clock),
         timeline=kernel.find("timeline", Timeline),
-        keepers=keepers,
+        replica_ids=replica_ids,
         log=log,
     )
--- a/burdockdrum/claims/tickets.py
+++ b/burdockdrum/claims/tickets.py
@@ -1,7 +1,7 @@
-"""Keys that prove from which epoch they are.
+"""Tickets: idempotency keys that name the epoch in which they were issued.
 
-A caller that asks for its key, in place of making one up, can always tell
-the system that the key is new, also after claims were forgotten.
+A ticket of the current epoch provably was not used before, so it is accepted
+even after the claim replicas lost their memory.
 """
 
 import random
@@ -13,11 +13,11 @@
 
 
 def make_ticket(epoch: Epoch, rng: random.Random) -> str:
-    """Return a key of an epoch that nobody else has."""
+    """Return a unique key of an epoch."""
     number = rng.getrandbits(_RANDOM_BITS)
     return f"{_PREFIX}:{epoch.number}:{epoch.former}:{number:x}"
 
 
 def is_ticket_of(key: str, epoch: Epoch) -> bool:
-    """Say whether a key was issued in an epoch."""
+    """Return whether a key was issued in an epoch."""
     return key.startswith(f"{_PREFIX}:{epoch.number}:{epoch.former}:")
--- a/tests/claims/test_at_most_once.py
+++ b/tests/claims/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Unrepeatable requests over whole VMs: at most one run a key."""
+"""Tests of whole VMs: a request with an idempotency key runs at most once."""
 
 import asyncio
 import random
@@ -10,16 +10,16 @@
 from tests.requests.stack import Endpoint
 from tests.requests.stack import Stack
 
-KEEPERS = ("a1", "a2", "a3")
-VMS = (*KEEPERS, "b1")
+REPLICAS = ("a1", "a2", "a3")
+VMS = (*REPLICAS, "b1")
 SEEDS = range(8)
 
 
 def run_with_service(
-    scenario, *, seed=1, vms=VMS, keepers=KEEPERS, seconds=0.5
+    scenario, *, seed=1, vms=VMS, replica_ids=REPLICAS, seconds=0.5
 ):
     async def main():
-        stack = Stack(seed=seed, keepers=keepers)
+        stack = Stack(seed=seed, keepers=replica_ids)
         await stack.start(*vms)
         await stack.configure()
         service = Endpoint(name="e1", seconds=seconds, body=b'{"booked":1}')
@@ -34,12 +34,11 @@
 
 
 class ResendTest(unittest.TestCase):
-    """HARD CASE 1: resent elsewhere, at once or later."""
+    """HARD CASE 1: a request is resent to other entries, at once or later."""
 
-    def test_resend_at_once_at_three_entries_runs_once(self):
-        # The caller hears nothing and sends the same key at two more
-        # entries, one in another region, while the first run goes on. One
-        # wins; the others must not say "not run".
+    def test_concurrent_resends_to_three_entries_run_once(self):
+        # Entries that are refused the claim must not answer "not run" while
+        # another one runs the request.
         async def scenario(stack, service):
             booked = await asyncio.gather(
                 *(stack.book(vm, "key") for vm in ("a1", "a2", "b1"))
@@ -52,7 +51,7 @@
 
         run_with_service(scenario)
 
-    def test_resend_later_gets_the_first_answer(self):
+    def test_later_resend_gets_the_first_answer(self):
         async def scenario(stack, service):
             first = await stack.book("a1", "key")
             await asyncio.sleep(120)
@@ -65,9 +64,9 @@
 
         run_with_service(scenario)
 
-    def test_resend_after_the_entry_crashed_does_not_run(self):
-        # The entry dies with the run in flight; nobody will bring its
-        # answer. A resend anywhere, also after the deadline, is refused.
+    def test_resend_after_an_entry_crash_does_not_run(self):
+        # The entry crashes during the run. A resend must be refused, also
+        # after the deadline.
         async def scenario(stack, service):
             first = asyncio.create_task(stack.book("a2", "key"))
             await asyncio.sleep(1)
@@ -82,9 +81,9 @@
 
         run_with_service(scenario, seconds=5)
 
-    def test_caller_that_hung_up_comes_back_for_the_answer(self):
-        # The run goes on without its caller, who sends the key again and
-        # gets the answer of that run.
+    def test_resend_after_a_disconnect_gets_the_answer(self):
+        # The run must go on after its caller disconnected, so that a resend
+        # gets its answer.
         async def scenario(stack, service):
             first = asyncio.create_task(stack.book("a1", "key"))
             await asyncio.sleep(1)
@@ -97,7 +96,7 @@
 
         run_with_service(scenario, seconds=3)
 
-    def test_key_with_another_content_is_refused(self):
+    def test_key_with_different_content_is_refused(self):
         async def scenario(stack, service):
             await stack.book("a1", "key")
             other = await stack.book("a2", "key", content=b'{"other":1}')
@@ -107,9 +106,9 @@
 
         run_with_service(scenario)
 
-    def test_error_of_the_service_is_kept_like_an_answer(self):
-        # The service answered 500: it may have booked. The resend gets the
-        # same answer and does not reach the service.
+    def test_error_response_is_stored_and_replayed(self):
+        # A service that answered 500 may have acted, so a resend must not
+        # reach it.
         async def scenario(stack, service):
             service.status = 500
             first = await stack.book("a1", "key")
@@ -121,14 +120,14 @@
 
 
 class CutTest(unittest.TestCase):
-    """HARD CASE 2: the keepers are on the other side."""
+    """HARD CASE 2: a network partition separates an entry from replicas."""
 
-    def test_cut_region_refuses_and_home_accepts(self):
-        # The south is cut from the north, the client's home. The south
-        # can't know what ran; the north serves its own callers.
+    def test_partitioned_region_refuses_and_home_region_accepts(self):
+        # An entry without a connection to the client's home region can't
+        # know which keys ran; the home region serves its own callers.
         async def scenario(stack, service):
             await stack.book("a1", "old")
-            stack.cluster.network.cut(["b1"], list(KEEPERS))
+            stack.cluster.network.cut(["b1"], list(REPLICAS))
             refused = await stack.book("b1", "old")
             self.assertEqual("may have run", refused.verdict)
             accepted = await stack.book("a2", "new")
@@ -137,9 +136,9 @@
 
         run_with_service(scenario)
 
-    def test_cut_within_the_home_region_runs_once(self):
-        # One keeper is alone on its side of a cut inside the region, and
-        # the same key is sent on both sides. Only the majority can grant.
+    def test_only_the_majority_side_grants_within_the_home_region(self):
+        # The same key is sent on both sides of a partition inside the home
+        # region: a single replica must not grant it.
         async def scenario(stack, service):
             stack.cluster.network.cut(["a1"], ["a2", "a3"])
             alone, together = await asyncio.gather(
@@ -154,9 +153,9 @@
 
         run_with_service(scenario)
 
-    def test_keeper_that_is_down_holds_up_nobody(self):
-        # Two of three keepers suffice; a request must not wait for the
-        # third until its call times out.
+    def test_unreachable_replica_does_not_delay_requests(self):
+        # Two of three votes suffice; a request must not wait for the third
+        # until its call times out.
         async def scenario(stack, service):
             stack.cluster.network.cut(["a3"], ["a1", "a2"])
             loop = asyncio.get_running_loop()
@@ -169,7 +168,7 @@
 
 
 class RestartTest(unittest.TestCase):
-    """HARD CASE 3: keepers without a disk forget."""
+    """HARD CASE 3: replicas without a disk lose their memory."""
 
     async def restart(self, stack, *vms):
         for vm in vms:
@@ -177,9 +176,9 @@
         for vm in vms:
             await stack.start_vm(vm)
 
-    def test_keepers_restarted_one_by_one_forget_nothing(self):
-        # A rolling replacement: in the end no keeper that voted for the
-        # key is the process that it was then.
+    def test_rolling_restart_of_replicas_loses_no_claim(self):
+        # In the end no replica that voted for the key is still the same
+        # process.
         async def scenario(stack, service):
             first = await stack.book("a2", "key")
             for vm in ("a2", "a3"):
@@ -193,9 +192,9 @@
 
         run_with_service(scenario)
 
-    def test_restarted_keeper_does_not_vote_before_it_has_recovered(self):
-        # The keeper restarts while the others, which know of the key, are
-        # cut off from it. It must not vote from an empty memory.
+    def test_restarted_replica_does_not_vote_before_it_has_recovered(self):
+        # The replica restarts while the others, which know the key, are
+        # unreachable. It must not vote from an empty table.
         async def scenario(stack, service):
             await stack.book("a2", "key")
             stack.cluster.network.cut(["a3"], ["a1", "a2"])
@@ -208,10 +207,10 @@
 
         run_with_service(scenario)
 
-    def test_all_restarted_refuse_old_keys_and_take_tickets(self):
-        # Every process of the home region restarts; no keeper has a disk.
-        # A key from before must not run again. One that the system issued
-        # after the restart provably never ran.
+    def test_restart_of_all_refuses_old_keys_and_accepts_tickets(self):
+        # Every process of the home region restarts without a disk. An old
+        # key must not run again; a ticket issued after the restart provably
+        # never ran.
         async def scenario(stack, service):
             await stack.book("a2", "key")
             await self.restart(stack, "a1", "a2", "a3", "a4")
@@ -232,12 +231,11 @@
         run_with_service(
             scenario,
             vms=("a1", "a2", "a3", "a4", "b1"),
-            keepers=("a2", "a3", "a4"),
+            replica_ids=("a2", "a3", "a4"),
         )
 
-    def test_keeper_with_a_disk_remembers_over_the_restart_of_all(self):
-        # The region's keeper has a disk. After the restart of everything
-        # the old key has its answer, and a new key needs no ticket.
+    def test_replica_with_a_disk_restores_claims_after_a_restart_of_all(self):
+        # The old key must have its answer, and a new key needs no ticket.
         async def scenario(stack, service):
             first = await stack.book("a2", "key")
             stack.cluster.disks_by_vm_id["a1"].lose_power()
@@ -249,11 +247,11 @@
             self.assertEqual(200, fresh.status, fresh.body)
             self.assertEqual(1, service.runs_by_key["key"])
 
-        run_with_service(scenario, keepers=("a1",))
+        run_with_service(scenario, replica_ids=("a1",))
 
 
 class HistoryTest(unittest.TestCase):
-    """Seeded histories of resends, cuts and restarts."""
+    """Random histories of resends, partitions and restarts, by seed."""
 
     def check(self, seed):
         async def scenario(stack, service):
@@ -271,8 +269,8 @@
                 except Exception:
                     verdicts_by_key.setdefault(key, []).append("lost")
                     return
-                said = booked.verdict or "answered"
-                verdicts_by_key.setdefault(key, []).append(said)
+                verdict = booked.verdict or "answered"
+                verdicts_by_key.setdefault(key, []).append(verdict)
 
             async def disturb():
                 while True:
@@ -304,24 +302,24 @@
             disturbing.cancel()
             await asyncio.gather(disturbing, return_exceptions=True)
             self.answered += sum(
-                "answered" in said for said in verdicts_by_key.values()
+                "answered" in verdicts for verdicts in verdicts_by_key.values()
             )
-            for key, said in verdicts_by_key.items():
+            for key, verdicts in verdicts_by_key.items():
                 runs = service.runs_by_key[key]
-                self.assertLessEqual(runs, 1, (seed, key, said))
-                if set(said) == {"not run"}:
-                    self.assertEqual(0, runs, (seed, key, said))
-                if "answered" in said:
-                    self.assertEqual(1, runs, (seed, key, said))
+                self.assertLessEqual(runs, 1, (seed, key, verdicts))
+                if set(verdicts) == {"not run"}:
+                    self.assertEqual(0, runs, (seed, key, verdicts))
+                if "answered" in verdicts:
+                    self.assertEqual(1, runs, (seed, key, verdicts))
 
         run_with_service(scenario, seed=seed)
 
-    def test_histories(self):
+    def test_histories_run_each_key_at_most_once(self):
         self.answered = 0
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 self.check(seed)
-        # A third of all keys, so that the checks are not vacuous.
+        # At least a third of all keys, so that the checks are not vacuous.
         self.assertLess(12 * len(SEEDS), self.answered)
 
 
--- a/tests/claims/test_rivals.py
+++ b/tests/claims/test_rivals.py
@@ -1,4 +1,4 @@
-"""Tests of keys that several owners have asked for."""
+"""Tests of keys with conflicting claims of several owners."""
 
 import unittest
 
@@ -15,16 +15,16 @@
 
 
 class RivalTest(unittest.TestCase):
-    """A keeper without a disk recovers while two owners want one key.
+    """A replica without a disk recovers two owners of one key.
 
-    Keeper a voted for the first owner, as b did, and forgot it. Keeper c has
-    voted for the second, which gets no majority.
+    Replica a voted for the first owner, as b did, and lost that vote. Replica
+    c voted for the second owner, which has no majority.
     """
 
-    def play(self, check, *records):
+    def run_check(self, check, *records):
         async def main():
-            keeper = await start(None)
-            await keeper.adopt(
+            replica = await start(None)
+            await replica.adopt_state(
                 EPOCH,
                 [make_record(owner="second"), make_record(owner="first")]
                 if not records
@@ -32,62 +32,66 @@
                 formed_at=VirtualClock().wall(),
                 new_clients={"crew"},
             )
-            await check(keeper)
+            await check(replica)
 
         run_virtual(main())
 
-    async def give_back(self, keeper, owner):
-        await keeper.settle(
+    async def release(self, replica, owner):
+        await replica.settle(
             SettleCall(client_id="crew", key="key", owner=owner, state=None)
         )
 
-    def test_key_is_not_free_once_one_of_two_owners_gives_it_back(self):
-        # The first owner runs. The second gives its votes back; a third one
-        # asks a and c, and would be a majority: the caller is booked twice.
-        async def check(keeper):
-            await self.give_back(keeper, "second")
-            self.assertIs(VoteOutcome.TAKEN, await vote(keeper, owner="third"))
-            await self.give_back(keeper, "first")
+    def test_key_is_not_free_after_one_of_two_owners_released_it(self):
+        # The first owner runs and the second releases its votes. A third one
+        # must not get a majority of a and c, as the request would run twice.
+        async def check(replica):
+            await self.release(replica, "second")
             self.assertIs(
-                VoteOutcome.GRANTED, await vote(keeper, owner="third")
+                VoteOutcome.TAKEN, await vote(replica, owner="third")
+            )
+            await self.release(replica, "first")
+            self.assertIs(
+                VoteOutcome.GRANTED, await vote(replica, owner="third")
             )
 
-        self.play(check)
+        self.run_check(check)
 
-    def test_neither_owner_gets_the_vote_again_before_one_gives_up(self):
-        # Which of them had the vote is forgotten; with c's the second would
-        # have a majority beside the first.
-        async def check(keeper):
+    def test_neither_owner_gets_the_vote_before_one_releases_it(self):
+        # The lost vote was for one of them: if the second owner got it, it
+        # would have a majority with c beside the first one's.
+        async def check(replica):
             for owner in ("first", "second"):
                 self.assertIs(
-                    VoteOutcome.TAKEN, await vote(keeper, owner=owner)
+                    VoteOutcome.TAKEN, await vote(replica, owner=owner)
                 )
-            await self.give_back(keeper, "second")
+            await self.release(replica, "second")
             self.assertIs(
-                VoteOutcome.GRANTED, await vote(keeper, owner="first")
+                VoteOutcome.GRANTED, await vote(replica, owner="first")
             )
 
-        self.play(check)
+        self.run_check(check)
 
-    def test_run_that_had_effects_decides(self):
-        async def check(keeper):
-            self.assertEqual("first", keeper.book.get(("crew", "key")).owner)
-            await self.give_back(keeper, "second")
-            self.assertIs(VoteOutcome.TAKEN, await vote(keeper, owner="third"))
+    def test_claim_of_a_request_that_ran_replaces_conflicting_ones(self):
+        async def check(replica):
+            self.assertEqual("first", replica.table.get(("crew", "key")).owner)
+            await self.release(replica, "second")
+            self.assertIs(
+                VoteOutcome.TAKEN, await vote(replica, owner="third")
+            )
 
         ran = make_record(owner="first", state=ClaimState.RAN)
-        self.play(check, make_record(owner="second"), ran)
-        self.play(check, ran, make_record(owner="second"))
+        self.run_check(check, make_record(owner="second"), ran)
+        self.run_check(check, ran, make_record(owner="second"))
 
-    def test_another_keeper_that_recovers_is_told_of_all(self):
-        async def check(keeper):
-            reply = keeper.answer_recovery(
+    def test_recovery_reply_contains_all_conflicting_claims(self):
+        async def check(replica):
+            reply = replica.handle_recovery(
                 RecoverCall(vm_id="b", incarnation=2, after=0)
             )
             owners = {record.owner for record in reply.records}
             self.assertEqual({"first", "second"}, owners)
 
-        self.play(check)
+        self.run_check(check)
 
 
 if __name__ == "__main__":
