--- a/burdockdrum/peers/__init__.py
+++ b/burdockdrum/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Typed messages between the system's own processes."""
+"""Typed messages between the VMs of the system."""
 
 from burdockdrum.peers.identity import VmIdentity
 from burdockdrum.peers.messages import Message
--- a/burdockdrum/peers/identity.py
+++ b/burdockdrum/peers/identity.py
@@ -1,12 +1,12 @@
-"""Who a VM is and where it is reached."""
+"""The identity and addresses of a VM."""
 
 import msgspec
 
 
 class VmIdentity(msgspec.Struct, frozen=True, kw_only=True):
-    """One start of one VM of the system.
+    """One incarnation of a VM of the system.
 
-    ``incarnation`` is larger for each start of the same VM. Addresses are
+    ``incarnation`` grows with each start of the same VM. Addresses are
     ``tcp://IP:PORT`` for control and ``http://IP:PORT`` for callers.
     """
 
--- a/burdockdrum/peers/link_watch.py
+++ b/burdockdrum/peers/link_watch.py
@@ -1,115 +1,119 @@
-"""Notice a link that takes frames and delivers none.
+"""Detect connections that accept frames but deliver none.
 
-A path may go silent without a reset, and the kernel of a sender takes frames
-for minutes. Each frame says how long ago its sender last heard from the
-receiver, so either side sees what did not arrive, and a new connection is
-opened.
+A path may drop packets without a reset, and the sender's kernel then buffers
+frames for minutes. Each frame carries the age of the last frame that its
+sender received from the other side, so a VM sees that its own frames do not
+arrive and reconnects.
 
-The same after a loss of power: what was dialled before the peer was up hangs
-for the second until the kernel tries again, whatever the peer says since. A
-peer that starts is dialled anew once it is heard, and one that was never
-heard is tried sooner.
+A connection attempt made before a peer listens hangs until the kernel retries
+after a second. So a VM reconnects as soon as it receives a frame of a new
+incarnation, and uses a shorter timeout for a peer it never received from.
 """
 
 from dataclasses import dataclass
 
-# Two heartbeats and a way there and back between regions. Far below the
-# 5 s after which others count on this VM to have noticed.
-SILENT_SECONDS = 1.5
-# As long, while a peer was never heard: a connection between regions takes
-# three ways, and the answer one more.
-FIRST_SILENT_SECONDS = 0.45
-# What was dialled so long before a peer's first word was dialled before the
-# peer was up; what is younger may be coming about.
-DIALLED_EARLY_SECONDS = 0.25
-# A peer that is gone for good is dialled anew less and less often.
-MAX_PAUSE_SECONDS = 12.0
-# So each pause is longer than the one before, and the seventh is the longest.
-PAUSE_GROWTH = 1.5
+# Two heartbeats and a round trip between regions; well below the 5 s within
+# which others expect this VM to notice a failed link.
+CONFIRM_TIMEOUT_SECONDS = 1.5
+# The same before the first frame of a peer: connecting between regions takes
+# three one-way delays, and the reply a fourth.
+INITIAL_TIMEOUT_SECONDS = 0.45
+# A connection opened this long before a peer's first frame was opened before
+# the peer listened; a younger one may still be established.
+EARLY_DIAL_AGE_SECONDS = 0.25
+# The limit of the backoff towards a peer that is gone for good.
+MAX_TIMEOUT_SECONDS = 12.0
+BACKOFF_FACTOR = 1.5
 
 
 @dataclass(kw_only=True)
 class _Link:
-    """``pending_since`` is when the first unconfirmed frame was sent.
+    """The state of one connection.
 
-    ``incarnation`` is the start of the peer that was heard last. What was
-    ``dialled_early`` hangs.
+    ``unconfirmed_since`` is when the oldest unconfirmed frame was sent,
+    ``incarnation`` the peer's when it last sent a frame. ``dialled_early``
+    marks a connection that was opened before the peer listened.
     """
 
-    heard_at: float | None = None
+    received_at: float | None = None
     incarnation: int | None = None
-    pending_since: float | None = None
-    pause: float = FIRST_SILENT_SECONDS
+    unconfirmed_since: float | None = None
+    timeout: float = INITIAL_TIMEOUT_SECONDS
     dialled_early: bool = False
 
 
-class LinkWatch:
-    """The links to peers by address, on the monotonic clock."""
+class LinkMonitor:
+    """Tracks the connections to peers by address, on the monotonic clock."""
 
     def __init__(self) -> None:
-        """Watch no link yet."""
+        """Create a monitor without connections."""
         self._links_by_address: dict[str, _Link] = {}
 
-    def heard_age(self, address: str, now: float) -> float | None:
-        """Return how many seconds ago a peer was heard, None if never."""
+    def received_age(self, address: str, now: float) -> float | None:
+        """Return the age of a peer's last frame in seconds, None if none."""
         link = self._links_by_address.get(address)
-        if link is None or link.heard_at is None:
+        if link is None or link.received_at is None:
             return None
-        return round(now - link.heard_at, 2)
+        return round(now - link.received_at, 2)
 
-    def note_heard(
+    def record_received(
         self,
         address: str,
         now: float,
-        its_age: float | None,
+        peer_received_age: float | None,
         incarnation: int = 0,
     ) -> None:
-        """Take note of a frame.
+        """Record a frame from a peer.
 
-        :param its_age: how many seconds before it the peer heard this VM
-        :param incarnation: the start of the peer
+        :param peer_received_age: age in seconds of the last frame that the
+            peer received from this VM, None if it received none
+        :param incarnation: the peer's incarnation
         """
         link = self._links_by_address.setdefault(address, _Link())
-        if link.heard_at is None:
-            link.pause = SILENT_SECONDS
-        link.heard_at = now
+        if link.received_at is None:
+            link.timeout = CONFIRM_TIMEOUT_SECONDS
+        link.received_at = now
         if link.incarnation != incarnation:
             link.incarnation = incarnation
-            link.dialled_early = _is_early(link, now, its_age)
-        if its_age is None or link.pending_since is None:
+            link.dialled_early = _was_dialled_early(
+                link, now, peer_received_age
+            )
+        if peer_received_age is None or link.unconfirmed_since is None:
             return
-        if now - its_age >= link.pending_since:
-            link.pending_since = None
-            link.pause = SILENT_SECONDS
+        if now - peer_received_age >= link.unconfirmed_since:
+            link.unconfirmed_since = None
+            link.timeout = CONFIRM_TIMEOUT_SECONDS
 
-    def note_sent(self, address: str, now: float) -> None:
-        """Take note of a frame that is sent."""
+    def record_sent(self, address: str, now: float) -> None:
+        """Record a frame that is sent to a peer."""
         link = self._links_by_address.setdefault(address, _Link())
-        if link.pending_since is None:
-            link.pending_since = now
+        if link.unconfirmed_since is None:
+            link.unconfirmed_since = now
 
-    def must_renew(self, address: str, now: float) -> bool:
-        """Say whether to open a new connection before the next frame."""
+    def must_reconnect(self, address: str, now: float) -> bool:
+        """Return whether to reconnect before the next frame."""
         link = self._links_by_address.get(address)
-        if link is None or link.pending_since is None:
+        if link is None or link.unconfirmed_since is None:
             return False
         if link.dialled_early:
             link.dialled_early = False
-            link.pending_since = now
+            link.unconfirmed_since = now
             return True
-        if now - link.pending_since < link.pause:
+        if now - link.unconfirmed_since < link.timeout:
             return False
-        link.pending_since = now
-        link.pause = min(MAX_PAUSE_SECONDS, link.pause * PAUSE_GROWTH)
+        link.unconfirmed_since = now
+        link.timeout = min(MAX_TIMEOUT_SECONDS, link.timeout * BACKOFF_FACTOR)
         return True
 
-    def forget(self, address: str) -> None:
-        """Forget a peer that nothing is sent to any more."""
+    def remove(self, address: str) -> None:
+        """Remove the state of a peer that is no longer sent to."""
         self._links_by_address.pop(address, None)
 
 
-def _is_early(link: _Link, now: float, its_age: float | None) -> bool:
-    """Say whether a peer that starts was dialled before it was up."""
-    if its_age is not None or link.pending_since is None:
+def _was_dialled_early(
+    link: _Link, now: float, peer_received_age: float | None
+) -> bool:
+    """Return whether a connection was opened before its peer listened."""
+    if peer_received_age is not None or link.unconfirmed_since is None:
         return False
-    return now - link.pending_since >= DIALLED_EARLY_SECONDS
+    return now - link.unconfirmed_since >= EARLY_DIAL_AGE_SECONDS
--- a/burdockdrum/peers/messages.py
+++ b/burdockdrum/peers/messages.py
@@ -1,8 +1,8 @@
-"""The frame that carries messages, and their base class.
+"""The base class of messages, and the frames that carry them.
 
-Messages are ``msgspec.Struct`` rather than frozen data classes: only those
-decode in strict, typed form. Unknown fields from a newer version of a peer
-are ignored, so that VMs can be upgraded one by one.
+Messages are ``msgspec.Struct`` classes, which decode strictly and by type.
+Unknown fields are ignored, so that VMs of different versions can talk to each
+other during a rolling upgrade.
 """
 
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 
 class Message(msgspec.Struct, frozen=True, kw_only=True):
-    """The base class of what one process tells another.
+    """The base class of messages between processes.
 
     A class that was renamed or moved sets ``wire_kind`` to the kind that it
     had, so that peers of other versions still know its messages.
@@ -28,7 +28,7 @@
 
         That is the class's own ``wire_kind``, else the package and the class.
         """
-        # Not inherited: two classes of one kind would be taken for each other.
+        # Not inherited: two classes must not share a kind.
         wire_kind: str | None = cls.__dict__.get("wire_kind")
         if wire_kind is not None:
             return wire_kind
@@ -37,7 +37,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """One message; ``call_id`` is 0 where no reply is expected."""
+    """One encoded message; ``call_id`` is 0 if no reply is expected."""
 
     kind: str
     call_id: int
@@ -46,10 +46,10 @@
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True):
-    """The messages that go to one peer together.
+    """A batch of messages to one peer.
 
-    ``heard_age`` is how many seconds ago the sender last heard from the
-    receiver, None if never.
+    ``received_age`` is the age in seconds of the last frame that the sender
+    received from the receiver, None if it received none.
     """
 
     sender_id: str
@@ -57,12 +57,12 @@
     incarnation: int
     stamp: Stamp
     envelopes: list[Envelope]
-    heard_age: float | None = None
+    received_age: float | None = None
 
 
 @dataclass(frozen=True, kw_only=True)
 class Sender:
-    """Where a message came from, as its frame says."""
+    """The sender of a message, as stated by its frame."""
 
     vm_id: str
     address: str
--- a/burdockdrum/peers/packing.py
+++ b/burdockdrum/peers/packing.py
@@ -1,46 +1,43 @@
-"""Compress the few frames that are large.
+"""Compress large frames, such as tables of routes, which repeat themselves.
 
-A table of 350 routes is 93 KB and travels whole, to every VM, with each
-change; it repeats itself, and is sent in a fifth of its bytes. With 88 VMs
-and a change every 0.7 s that left 14 of 22 MB between regions, all traffic
-counted (one day of a storm of changes, 16 s of it).
+Frames below a minimum size are sent uncompressed.
 """
 
 import zlib
 
-# Heartbeats and loads are smaller, and sent too often to spend time on.
-MIN_BYTES = 4096
-# The fastest: a millisecond for 93 KB.
-LEVEL = 1
-# What a frame may hold once it is unpacked: four times the largest payload.
-MAX_BYTES = 16 * 1024 * 1024
-# A zlib stream begins so (RFC 1950); a frame is an array and never does.
-_ZLIB = b"\x78"
+# Heartbeats and load reports are smaller, and too frequent to compress.
+MIN_COMPRESSED_FRAME_BYTES = 4096
+COMPRESSION_LEVEL = 1
+# Four times the largest payload; bounds the memory of a decompressed frame.
+MAX_UNPACKED_BYTES = 16 * 1024 * 1024
+# The first byte of a zlib stream (RFC 1950). An uncompressed frame is a
+# msgpack array, which never starts with it.
+_ZLIB_HEADER = b"\x78"
 
 
 class UnpackError(Exception):
-    """A payload is no stream, or holds more than is allowed."""
+    """A payload is not a valid zlib stream or exceeds the size limit."""
 
 
 def pack(frame: bytes) -> bytes:
-    """Return a frame for the wire, compressed where that is worth it."""
-    if len(frame) < MIN_BYTES:
+    """Return a frame, compressed if it is large."""
+    if len(frame) < MIN_COMPRESSED_FRAME_BYTES:
         return frame
-    return zlib.compress(frame, LEVEL)
+    return zlib.compress(frame, COMPRESSION_LEVEL)
 
 
 def unpack(payload: bytes) -> bytes:
-    """Return the frame of a payload.
+    """Return the uncompressed frame of a payload.
 
-    :raises UnpackError: if it can't be read
+    :raises UnpackError: if it can't be decompressed
     """
-    if payload[:1] != _ZLIB:
+    if payload[:1] != _ZLIB_HEADER:
         return payload
     stream = zlib.decompressobj()
     try:
-        frame = stream.decompress(payload, MAX_BYTES)
+        frame = stream.decompress(payload, MAX_UNPACKED_BYTES)
     except zlib.error as error:
         raise UnpackError(str(error)) from error
     if not stream.eof:
-        raise UnpackError("it is cut off, or too large")
+        raise UnpackError("compressed frame is truncated or too large")
     return frame
--- a/burdockdrum/peers/peers.py
+++ b/burdockdrum/peers/peers.py
@@ -1,8 +1,8 @@
 """The service that sends and receives messages.
 
-A pynng send costs as much whatever its size, so the messages for one
-peer are collected for a tick and sent as one frame. The first message after
-a pause leaves at once.
+The cost of a pynng send hardly depends on its size, so the messages to a peer
+are batched into one frame per interval. The first message after a pause is
+sent at once.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 from burdockdrum.metrics import Metrics
 from burdockdrum.peers.identity import VmIdentity
-from burdockdrum.peers.link_watch import LinkWatch
+from burdockdrum.peers.link_watch import LinkMonitor
 from burdockdrum.peers.messages import Envelope
 from burdockdrum.peers.messages import Frame
 from burdockdrum.peers.messages import Message
@@ -33,10 +33,10 @@
 from burdockdrum.ports import SendFailed
 from burdockdrum.timeline import HybridClock
 
-TICK_SECONDS = 0.02
-MAX_QUEUED = 2048
-IDLE_PEER_SECONDS = 120.0
-# A quarter of what a receiver takes; one message may be larger.
+BATCH_INTERVAL_SECONDS = 0.02
+MAX_QUEUED_MESSAGES = 2048
+IDLE_TIMEOUT_SECONDS = 120.0
+# A quarter of the receiver's limit, as a single message may be larger.
 MAX_FRAME_BYTES = 1024 * 1024
 
 M = TypeVar("M", bound=Message)
@@ -45,14 +45,14 @@
 
 
 class CallFailed(Exception):
-    """No reply came: the peer may or may not have acted on the call."""
+    """No valid reply was received; the peer may have handled the call."""
 
 
 class Peers:
-    """Messages to and from other VMs, by address.
+    """Sends messages to other VMs by address and handles those received.
 
-    Delivery is lossy and unordered after a reconnect. ``send`` never waits;
-    ``call`` waits for a reply until its timeout.
+    Messages may be lost, and reordered after a reconnect. ``send`` never
+    blocks; ``call`` waits for a reply until its timeout.
     """
 
     def __init__(
@@ -76,11 +76,11 @@
         self._outboxes_by_address: dict[str, _Outbox] = {}
         self._inboxes_by_sender: dict[str, asyncio.Queue] = {}
         self._replies_by_call: dict[int, asyncio.Future[msgspec.Raw]] = {}
-        # Call ids start anywhere, so that a reply to an earlier start of
-        # this VM is not taken for the reply to a call of this one.
+        # Call ids start at a random number, so that a late reply to an
+        # earlier incarnation of this VM matches no call of this one.
         self._next_call = rng.randrange(1, 1 << 48)
         self._group: asyncio.TaskGroup | None = None
-        self._links = LinkWatch()
+        self._link_monitor = LinkMonitor()
         self.traffic = Traffic(metrics=metrics)
         self._bytes = metrics.counter(
             "burdockdrum_peer_bytes_total", "Bytes sent to and from peers."
@@ -90,7 +90,7 @@
         )
         self._renewed = metrics.counter(
             "burdockdrum_peer_links_renewed_total",
-            "Connections to peers opened anew because nothing arrived.",
+            "Connections to peers reopened because nothing arrived.",
         )
         self._dropped = metrics.counter(
             "burdockdrum_peer_dropped_total",
@@ -102,16 +102,16 @@
         message_type: type[M],
         handler: Callable[[Sender, M], Awaitable[Message | None]],
     ) -> None:
-        """Choose who handles a type of message.
+        """Set the handler of a message type.
 
-        What the handler returns is the reply to a call. Messages of one
-        sender that expect no reply are handled in order, one at a time;
-        calls are handled side by side.
+        The handler returns the reply to a call. Messages of one sender that
+        expect no reply are handled one by one, in order; calls are handled
+        concurrently.
         """
         self._handlers_by_kind[message_type.kind()] = (message_type, handler)
 
     def send(self, address: str, message: Message) -> None:
-        """Queue a message; the oldest goes if too many wait."""
+        """Queue a message; a full queue drops its oldest message."""
         self._enqueue(address, _envelope(message, 0, is_reply=False))
 
     async def call(
@@ -125,7 +125,8 @@
         """Send a message and wait for its reply.
 
         :param timeout: seconds to wait
-        :raises CallFailed: if no reply came in time; the peer may have acted
+        :raises CallFailed: if no valid reply was received in time; the peer
+            may have handled the call
         """
         call_id = self._next_call
         self._next_call += 1
@@ -164,7 +165,7 @@
             self._outboxes_by_address[address] = outbox
             if self._group is not None:
                 self._spawn(self._send_to(address, outbox))
-        if len(outbox.envelopes) == MAX_QUEUED:
+        if len(outbox.envelopes) == MAX_QUEUED_MESSAGES:
             self._dropped.increment(reason="queue_full")
         outbox.envelopes.append(envelope)
         outbox.filled.set()
@@ -173,42 +174,42 @@
         next_at = float("-inf")
         while True:
             try:
-                async with asyncio.timeout(IDLE_PEER_SECONDS):
+                async with asyncio.timeout(IDLE_TIMEOUT_SECONDS):
                     await outbox.filled.wait()
             except TimeoutError:
                 if self._outboxes_by_address.get(address) is outbox:
                     del self._outboxes_by_address[address]
-                    self._links.forget(address)
-                    self.traffic.forget(address)
+                    self._link_monitor.remove(address)
+                    self.traffic.remove(address)
                 return
-            # Slept before a frame, not after each: most frames come alone,
-            # and a wake for nothing costs a tenth of a frame.
-            pause = next_at - self._clock.monotonic()
-            if pause > 0:
-                await self._clock.sleep(pause)
-            await self._send_frame(address, outbox.take())
-            next_at = self._clock.monotonic() + TICK_SECONDS
+            # Sleeping before the next frame rather than after each one saves
+            # a wake-up, as most frames come alone.
+            delay = next_at - self._clock.monotonic()
+            if delay > 0:
+                await self._clock.sleep(delay)
+            await self._send_frame(address, outbox.pop_batch())
+            next_at = self._clock.monotonic() + BATCH_INTERVAL_SECONDS
 
     async def _send_frame(
         self, address: str, envelopes: list[Envelope]
     ) -> None:
         now = self._clock.monotonic()
-        if self._links.must_renew(address, now):
+        if self._link_monitor.must_reconnect(address, now):
             self._renewed.increment()
             self._mailbox.renew(address)
-        self._links.note_sent(address, now)
+        self._link_monitor.record_sent(address, now)
         frame = Frame(
             self.identity.vm_id,
             self._mailbox.address,
             self.identity.incarnation,
             self._hybrid_clock.tick(),
             envelopes,
-            self._links.heard_age(address, now),
+            self._link_monitor.received_age(address, now),
         )
         payload = self._seal.close(pack(msgspec.msgpack.encode(frame)))
         self._bytes.increment(len(payload), way="out")
         self._frames.increment(way="out")
-        self.traffic.note_frame(address, envelopes, len(payload))
+        self.traffic.record_frame(address, envelopes, len(payload))
         try:
             await self._mailbox.send(address, payload)
         except SendFailed:
@@ -230,10 +231,10 @@
                 self._dropped.increment(reason="bad_frame")
                 continue
             self._hybrid_clock.observe(frame.stamp)
-            self._links.note_heard(
+            self._link_monitor.record_received(
                 frame.sender_address,
                 self._clock.monotonic(),
-                frame.heard_age,
+                frame.received_age,
                 frame.incarnation,
             )
             self._dispatch(frame)
@@ -250,26 +251,26 @@
             elif envelope.call_id:
                 self._spawn(self._handle(sender, envelope))
             else:
-                self._inbox(sender).put_nowait((sender, envelope))
+                self._inbox_of(sender).put_nowait((sender, envelope))
 
     def _resolve(self, envelope: Envelope) -> None:
         future = self._replies_by_call.get(envelope.call_id)
-        # A reply that comes after its call was given up reaches nobody.
+        # The call may have timed out already.
         if future is not None and not future.done():
             future.set_result(envelope.body)
 
-    def _inbox(self, sender: Sender) -> asyncio.Queue:
+    def _inbox_of(self, sender: Sender) -> asyncio.Queue:
         queue = self._inboxes_by_sender.get(sender.address)
         if queue is None:
             queue = asyncio.Queue()
             self._inboxes_by_sender[sender.address] = queue
-            self._spawn(self._handle_from(sender.address, queue))
+            self._spawn(self._handle_inbox(sender.address, queue))
         return queue
 
-    async def _handle_from(self, address: str, queue: asyncio.Queue) -> None:
+    async def _handle_inbox(self, address: str, queue: asyncio.Queue) -> None:
         while True:
             try:
-                async with asyncio.timeout(IDLE_PEER_SECONDS):
+                async with asyncio.timeout(IDLE_TIMEOUT_SECONDS):
                     sender, envelope = await queue.get()
             except TimeoutError:
                 if queue.empty():
@@ -279,11 +280,11 @@
             await self._handle(sender, envelope)
 
     async def _handle(self, sender: Sender, envelope: Envelope) -> None:
-        known = self._handlers_by_kind.get(envelope.kind)
-        if known is None:
+        registered = self._handlers_by_kind.get(envelope.kind)
+        if registered is None:
             self._dropped.increment(reason="unknown_kind")
             return
-        message_type, handler = known
+        message_type, handler = registered
         try:
             message = msgspec.msgpack.decode(envelope.body, type=message_type)
         except msgspec.MsgspecError:
@@ -292,7 +293,7 @@
         try:
             reply = await handler(sender, message)
         except Exception as error:
-            # One message must not end the task that serves all peers.
+            # A failed handler must not end the task that serves all peers.
             logger.opt(exception=error).error(
                 "handling {} from {} failed", envelope.kind, sender.vm_id
             )
@@ -308,34 +309,36 @@
         try:
             self._group.create_task(coroutine)
         except RuntimeError:
-            # The group is being cancelled: a service that still sends while
-            # everything shuts down must not fail for it.
+            # The group is being cancelled: sending during the shutdown must
+            # not fail.
             coroutine.close()
 
 
 class _Outbox:
-    """The messages that wait for one peer."""
+    """The queue of messages to one peer."""
 
     def __init__(self) -> None:
-        self.envelopes = collections.deque[Envelope](maxlen=MAX_QUEUED)
+        self.envelopes = collections.deque[Envelope](
+            maxlen=MAX_QUEUED_MESSAGES
+        )
         self.filled = asyncio.Event()
 
-    def take(self) -> list[Envelope]:
-        """Take the messages of the next frame, one at least.
+    def pop_batch(self) -> list[Envelope]:
+        """Remove and return the messages of the next frame, at least one.
 
-        The receiver drops a payload over its limit without a word, and with
-        it every message inside.
+        The size is limited because the receiver silently drops a payload
+        over its limit, with all messages in it.
         """
-        taken = [self.envelopes.popleft()]
-        size = len(taken[0].body)
+        batch = [self.envelopes.popleft()]
+        size = len(batch[0].body)
         while self.envelopes:
             size += len(self.envelopes[0].body)
             if size > MAX_FRAME_BYTES:
                 break
-            taken.append(self.envelopes.popleft())
+            batch.append(self.envelopes.popleft())
         if not self.envelopes:
             self.filled.clear()
-        return taken
+        return batch
 
 
 def _envelope(message: Message, call_id: int, *, is_reply: bool) -> Envelope:
--- a/burdockdrum/peers/seal.py
+++ b/burdockdrum/peers/seal.py
@@ -1,4 +1,4 @@
-"""Proof that a payload comes from a holder of the cluster's secret."""
+"""Message authentication with the cluster's shared secret."""
 
 import hashlib
 import hmac
@@ -8,23 +8,23 @@
 
 
 class Seal:
-    """A keyed BLAKE2b tag before each payload.
+    """Authenticates payloads with a keyed BLAKE2b tag.
 
-    The control port is open to whoever reaches the VM. Without the tag,
-    garbage or a forged message there could depose a leader; with it, such
-    payloads are dropped before they are decoded.
+    The control port accepts connections from anyone who can reach the VM.
+    The tag prevents forged messages, such as one that deposes a leader:
+    payloads without a valid tag are dropped before they are decoded.
     """
 
     def __init__(self, *, secret: bytes) -> None:
-        """Create a seal from the cluster's shared secret."""
+        """Derive the key from the cluster's shared secret."""
         self._key = hashlib.blake2b(secret, digest_size=32).digest()
 
     def close(self, payload: bytes) -> bytes:
-        """Put version and tag before a payload."""
+        """Return a payload with version and tag prepended."""
         return _VERSION + self._tag(payload) + payload
 
     def open(self, sealed: bytes) -> bytes | None:
-        """Return the payload, or None if the tag does not fit."""
+        """Verify and remove the tag; return None if it is invalid."""
         if len(sealed) <= 1 + TAG_BYTES or sealed[:1] != _VERSION:
             return None
         tag = sealed[1 : 1 + TAG_BYTES]
--- a/burdockdrum/peers/services.py
+++ b/burdockdrum/peers/services.py
@@ -1,4 +1,4 @@
-"""Name the services of this package."""
+"""Register the services of this package with the kernel."""
 
 import pathlib
 import random
@@ -15,7 +15,7 @@
 
 
 def add_services(kernel: Kernel) -> None:
-    """Name the messages between VMs and their seal."""
+    """Register the messaging service and its authentication."""
     kernel.add("seal", _build_seal)
     kernel.add("peers", _build_peers)
 
--- a/burdockdrum/peers/traffic.py
+++ b/burdockdrum/peers/traffic.py
@@ -1,7 +1,7 @@
-"""What a VM sends to its peers, by kind of message and by distance.
+"""Metrics of the traffic to peers, by kind of message and distance.
 
-What grows with the number of VMs, and what crosses between data centres and
-regions, an operator reads on the metrics page without a capture of packets.
+They show an operator which traffic grows with the number of VMs and which
+crosses between data centres and regions, without a packet capture.
 """
 
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 
 class Distance(enum.Enum):
-    """How far a peer is away, as far as that is known."""
+    """The distance to a peer: the smallest area that contains both."""
 
     DATA_CENTRE = "data_centre"
     REGION = "region"
@@ -21,12 +21,12 @@
 
 
 class Traffic:
-    """Count what is sent."""
+    """Counts the messages and frames sent to peers."""
 
     def __init__(self, *, metrics: Metrics) -> None:
-        """Have counted nothing yet."""
-        # Set once there is a directory to ask.
-        self.read_distance: Callable[[str], Distance] = _know_none
+        """Create the counters."""
+        # Set by the VM directory, which is created later.
+        self.read_distance: Callable[[str], Distance] = _unknown_distance
         self._known_by_address: dict[str, Distance] = {}
         self._messages = metrics.counter(
             "burdockdrum_peer_messages_total",
@@ -42,7 +42,7 @@
             "Bytes of frames sent to peers, by distance.",
         )
 
-    def note_frame(
+    def record_frame(
         self, address: str, envelopes: list[Envelope], frame_bytes: int
     ) -> None:
         """Count a frame and the messages in it."""
@@ -54,8 +54,8 @@
                 len(envelope.body), kind=envelope.kind, distance=distance
             )
 
-    def forget(self, address: str) -> None:
-        """Forget how far a peer is that nothing is sent to any more."""
+    def remove(self, address: str) -> None:
+        """Remove the cached distance of a peer that is no longer sent to."""
         self._known_by_address.pop(address, None)
 
     def _find_distance(self, address: str) -> Distance:
@@ -68,5 +68,5 @@
         return distance
 
 
-def _know_none(address: str) -> Distance:
+def _unknown_distance(address: str) -> Distance:
     return Distance.UNKNOWN
--- a/tests/peers/test_kinds.py
+++ b/tests/peers/test_kinds.py
@@ -78,17 +78,17 @@
 
 
 class Renamed(Message):
-    """A message of the test that had another name."""
+    """A test message with an explicit kind."""
 
     wire_kind = "tests.FormerName"
 
 
 class Derived(Renamed):
-    """A message of the test with a base class that names its kind."""
+    """A test message whose base class has an explicit kind."""
 
 
 def find_message_types(base):
-    """Return all classes that derive from one."""
+    """Return all direct and indirect subclasses."""
     found = []
     for message_type in base.__subclasses__():
         found += [message_type, *find_message_types(message_type)]
@@ -96,11 +96,11 @@
 
 
 class KindsTest(unittest.TestCase):
-    """What a peer of another version reads as the kind of a message."""
+    """The kinds that peers of other versions know."""
 
-    def test_kinds_stay_as_peers_know_them(self):
-        # During an upgrade a message of a kind that a peer doesn't know is
-        # dropped: renaming a class must not rename its kind.
+    def test_kinds_do_not_change(self):
+        # Peers drop messages of an unknown kind, so renaming a class must not
+        # rename its kind.
         for module in pkgutil.walk_packages(
             burdockdrum.__path__, "burdockdrum."
         ):
@@ -113,9 +113,9 @@
         ]
         self.assertEqual(KINDS, sorted(kinds))
 
-    def test_class_has_the_kind_that_it_names(self):
+    def test_class_may_set_its_kind(self):
         self.assertEqual("tests.FormerName", Renamed.kind())
 
-    def test_kind_that_a_base_class_names_is_not_inherited(self):
-        # Otherwise one handler would get the messages of both classes.
+    def test_kind_set_by_a_base_class_is_not_inherited(self):
+        # Otherwise one handler would receive the messages of both classes.
         self.assertEqual("tests.Derived", Derived.kind())
--- a/tests/peers/test_packing.py
+++ b/tests/peers/test_packing.py
@@ -1,4 +1,4 @@
-"""Tests of frames that are compressed."""
+"""Tests of the compression of frames."""
 
 import random
 import unittest
@@ -9,8 +9,8 @@
 
 from burdockdrum.peers.messages import Envelope
 from burdockdrum.peers.messages import Frame
-from burdockdrum.peers.packing import MAX_BYTES
-from burdockdrum.peers.packing import MIN_BYTES
+from burdockdrum.peers.packing import MAX_UNPACKED_BYTES
+from burdockdrum.peers.packing import MIN_COMPRESSED_FRAME_BYTES
 from burdockdrum.peers.packing import pack
 from burdockdrum.peers.packing import unpack
 from burdockdrum.peers.packing import UnpackError
@@ -18,9 +18,9 @@
 
 
 class PackingTest(unittest.TestCase):
-    """What is packed comes out as it was, and garbage is refused."""
+    """Frames survive a round trip, and invalid payloads are rejected."""
 
-    def test_frame_is_never_taken_for_a_stream(self):
+    def test_small_frame_is_not_compressed(self):
         body = msgspec.Raw(msgspec.msgpack.encode({"a": 1}))
         frame = Frame(
             "vm", "tcp://a:1", 1, Stamp(1, 1), [Envelope("k", 0, False, body)]
@@ -29,7 +29,7 @@
         self.assertEqual(payload, pack(payload))
         self.assertEqual(payload, unpack(payload))
 
-    def test_table_of_routes_takes_a_fifth(self):
+    def test_route_table_shrinks_to_a_fifth(self):
         rng = random.Random(1)
         routes = [
             {
@@ -49,21 +49,21 @@
         self.assertLess(len(pack(frame)), len(frame) / 5)
         self.assertEqual(frame, unpack(pack(frame)))
 
-    @given(strategies.binary(max_size=3 * MIN_BYTES))
-    def test_large_frames_come_out_as_they_were(self, rest):
+    @given(strategies.binary(max_size=3 * MIN_COMPRESSED_FRAME_BYTES))
+    def test_large_frames_survive_a_round_trip(self, rest):
         frame = b"\x96" + rest * 3
         self.assertEqual(frame, unpack(pack(frame)))
 
     @given(strategies.binary(max_size=100))
-    def test_garbage_is_refused(self, rest):
+    def test_invalid_stream_is_rejected(self, rest):
         with self.assertRaises(UnpackError):
             unpack(b"\x78" + rest)
 
-    def test_stream_that_is_cut_off_is_refused(self):
+    def test_truncated_stream_is_rejected(self):
         whole = pack(b"\x96" + bytes(range(256)) * 100)
         with self.assertRaises(UnpackError):
             unpack(whole[:-5])
 
-    def test_stream_that_grows_without_bound_is_refused(self):
+    def test_stream_over_the_size_limit_is_rejected(self):
         with self.assertRaises(UnpackError):
-            unpack(pack(b"\x96" + bytes(MAX_BYTES + 1)))
+            unpack(pack(b"\x96" + bytes(MAX_UNPACKED_BYTES + 1)))
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of the messages between processes."""
+"""Tests of sending and receiving messages between VMs."""
 
 import asyncio
 import random
@@ -15,13 +15,13 @@
 
 
 class Ping(Message):
-    """A message of the test."""
+    """A message with a number."""
 
     number: int
 
 
 class Load(Message):
-    """A message of some size."""
+    """A message of variable size."""
 
     content: bytes
 
@@ -59,12 +59,11 @@
 
 
 class PeersTest(unittest.TestCase):
-    """What one VM tells another."""
+    """Messages between two VMs."""
 
-    def test_large_messages_go_in_several_frames(self):
-        # Sixteen messages of 300 kB are sent at once. In one frame they
-        # would be over what a receiver takes, which drops it silently: all
-        # would be lost, and again at each attempt.
+    def test_large_messages_are_split_over_several_frames(self):
+        # In one frame they would exceed the receiver's limit, and all would
+        # be dropped silently at each attempt.
         async def main():
             fixture = Fixture()
             a = await fixture.start("a")
@@ -79,10 +78,10 @@
             a._mailbox.send = measure
             received = []
 
-            async def take(sender, message):
+            async def receive(sender, message):
                 received.append(len(message.content))
 
-            b.register(Load, take)
+            b.register(Load, receive)
 
             async def use():
                 for _ in range(16):
@@ -116,7 +115,7 @@
 
         run_virtual(main())
 
-    def test_messages_of_one_tick_share_a_frame(self):
+    def test_messages_of_one_interval_share_a_frame(self):
         async def main():
             fixture = Fixture()
             a = await fixture.start("a")
@@ -134,10 +133,8 @@
 
         run_virtual(main())
 
-    def test_call_over_a_cut_fails_in_time(self):
-        # The caller sees CallFailed after its timeout, never a hang. The
-        # link drops the request silently; the reply can't come, and the
-        # peer may or may not have acted, which the error says.
+    def test_call_over_a_partition_fails_after_its_timeout(self):
+        # A link that drops the call silently must not hang the caller.
         async def main():
             fixture = Fixture()
             a = await fixture.start("a")
@@ -160,10 +157,10 @@
 
         run_virtual(main())
 
-    def test_garbage_and_a_foreign_secret_are_dropped(self):
-        # Whoever reaches the control port can send bytes. Garbage, and a
-        # well-formed frame under another secret, are counted and dropped;
-        # the next good message is handled.
+    def test_payloads_without_a_valid_tag_are_dropped(self):
+        # Anyone can send to the control port. Random bytes and a frame with
+        # another secret are counted and dropped; the next valid one is
+        # handled.
         async def main():
             fixture = Fixture()
             a = await fixture.start("a")
--- a/tests/peers/test_traffic.py
+++ b/tests/peers/test_traffic.py
@@ -1,4 +1,4 @@
-"""Tests of what is counted of messages to peers."""
+"""Tests of the metrics of traffic to peers."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 def make_envelope(kind, size):
-    """Return a message with a body of so many bytes."""
+    """Return an envelope with a body of a size in bytes."""
     return Envelope(kind, 0, False, msgspec.Raw(b"x" * size))
 
 
@@ -23,8 +23,8 @@
         self.traffic = Traffic(metrics=self.metrics)
 
     def test_messages_are_counted_by_kind_and_distance(self):
-        # An operator asks what crosses between regions: one kind of message
-        # goes to a neighbour and to another region, in one frame each.
+        # The same kind of message is sent within the data centre and to
+        # another region.
         distances = {
             "tcp://near:1": Distance.DATA_CENTRE,
             "tcp://far:1": Distance.ELSEWHERE,
@@ -32,8 +32,8 @@
         self.traffic.read_distance = distances.get
         load = make_envelope("loads", 100)
         other = make_envelope("vms", 30)
-        self.traffic.note_frame("tcp://near:1", [load, other], 150)
-        self.traffic.note_frame("tcp://far:1", [load], 120)
+        self.traffic.record_frame("tcp://near:1", [load, other], 150)
+        self.traffic.record_frame("tcp://far:1", [load], 120)
         page = self.metrics.text()
         for line in (
             'message_bytes_total{distance="data_centre",kind="loads"} 100',
@@ -44,19 +44,19 @@
         ):
             self.assertIn(f"burdockdrum_peer_{line}", page)
 
-    def test_distance_is_asked_for_until_it_is_known(self):
-        # Everything starts: a VM sends before it has heard of the other.
+    def test_unknown_distance_is_not_cached(self):
+        # At the start a VM sends before it knows where the peer is.
         answers = [Distance.UNKNOWN, Distance.REGION]
-        asked = []
+        queried = []
 
         def read_distance(address):
-            asked.append(address)
-            return answers[len(asked) - 1]
+            queried.append(address)
+            return answers[len(queried) - 1]
 
         self.traffic.read_distance = read_distance
         for _ in range(4):
-            self.traffic.note_frame("tcp://x:1", [], 10)
-        self.assertEqual(2, len(asked))
+            self.traffic.record_frame("tcp://x:1", [], 10)
+        self.assertEqual(2, len(queried))
         page = self.metrics.text()
         self.assertIn('frame_bytes_total{distance="unknown"} 10', page)
         self.assertIn('frame_bytes_total{distance="region"} 30', page)
