--- a/burdockdrum/vms/__init__.py
+++ b/burdockdrum/vms/__init__.py
@@ -1,4 +1,4 @@
-"""The VMs of the system that this VM knows, and what others can take."""
+"""Membership: live VMs, their endpoints and free capacity elsewhere."""
 
 from burdockdrum.vms.directory import DataCentreView
 from burdockdrum.vms.directory import VmDirectory
--- a/burdockdrum/vms/directory.py
+++ b/burdockdrum/vms/directory.py
@@ -1,4 +1,7 @@
-"""The VMs that this VM knows: those here, and a few of each elsewhere."""
+"""The directory of live VMs.
+
+It knows all VMs of this data centre and a few entry VMs of each other one.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -11,7 +14,7 @@
 from burdockdrum.ports import Clock
 from burdockdrum.timeline import Timeline
 from burdockdrum.vms.group import VmGroup
-from burdockdrum.vms.joining import Joining
+from burdockdrum.vms.joining import Discovery
 from burdockdrum.vms.liveness import Health
 from burdockdrum.vms.members import Member
 from burdockdrum.vms.members import VmState
@@ -19,21 +22,22 @@
 from burdockdrum.vms.messages import EntryAddress
 from burdockdrum.vms.messages import ServiceSummary
 from burdockdrum.vms.remote import choose_by_hash
-from burdockdrum.vms.remote import ENTRIES_A_SUMMARY
-from burdockdrum.vms.remote import make_figures
+from burdockdrum.vms.remote import encode_figures
+from burdockdrum.vms.remote import ENTRIES_PER_SUMMARY
 from burdockdrum.vms.remote import RemoteDataCentre
 from burdockdrum.vms.remote import RemoteDataCentres
 
-# Each request asks for the views; making them costs a step for each VM.
-VIEWS_SECONDS = 0.05
+# Every request reads the views, and building them takes time per VM.
+VIEWS_MAX_AGE_SECONDS = 0.05
 
 
 @dataclass(frozen=True, kw_only=True)
 class VmView:
-    """What this VM knows of another; ``heard_at`` is on its own clock.
+    """The state of a VM as known to this one.
 
-    ``in_flight`` are the requests that it serves; it is 0 for a VM of
-    another data centre, as only summaries travel between them.
+    ``heard_at`` is when it was last heard from, on this VM's monotonic clock.
+    ``in_flight`` is the number of requests that it serves; it is 0 for VMs of
+    other data centres, which only send summaries.
     """
 
     identity: VmIdentity
@@ -47,9 +51,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class DataCentreView:
-    """What this VM knows of a data centre; the age is in seconds.
+    """The state of a data centre as known to this VM.
 
-    The room of its services is discounted by its age.
+    The free capacity of its services is reduced by the age of the summary.
     """
 
     data_centre: str
@@ -61,7 +65,7 @@
 
 
 class VmDirectory:
-    """The VMs that were heard of, this one among them."""
+    """The live VMs known to this one, including itself."""
 
     def __init__(
         self,
@@ -76,7 +80,7 @@
     ) -> None:
         """Create a directory that knows only this VM.
 
-        :param join: control addresses of one or two VMs to begin with
+        :param join: control addresses of one or two VMs to join through
         """
         self.identity = peers.identity
         self.in_flight = 0
@@ -100,10 +104,10 @@
             timeline=timeline,
             group=self.group,
             make_summary=self._make_summary,
-            read_headline=self._read_headline,
+            read_urgent_state=self._read_urgent_state,
             relay_ids=self._relay_ids,
         )
-        self._joining = Joining(
+        self._joining = Discovery(
             peers=peers,
             clock=clock,
             rng=rng,
@@ -115,22 +119,22 @@
 
     @property
     def draining(self) -> bool:
-        """Say whether this VM is to be left out of the lists."""
+        """Return whether this VM is draining and so not listed as an entry."""
         return self._draining
 
     @draining.setter
     def draining(self, value: bool) -> None:
         self._draining = value
         self._views_at = float("-inf")
-        self.group.urge()
+        self.group.request_tick()
 
     @property
     def summaries_by_data_centre(self) -> dict[str, DataCentreView]:
-        """Return the data centres heard of lately, this one among them."""
+        """Return the reachable data centres, including this one."""
         own = self.identity
         entries = tuple(
             view.identity
-            for view in self._views_here()
+            for view in self._local_views()
             if not view.draining and not view.suspected
         )
         views = {
@@ -148,12 +152,12 @@
         return views
 
     def live_vms(self) -> list[VmView]:
-        """Return the VMs heard of lately, this one first.
+        """Return the live VMs, this one first.
 
-        Of another data centre these are a few to forward to.
+        Of another data centre these are a few entry VMs to forward to.
         """
         now = self._clock.monotonic()
-        if now - self._views_at > VIEWS_SECONDS:
+        if now - self._views_at > VIEWS_MAX_AGE_SECONDS:
             self._views = self._list_views()
             self._views_at = now
         return list(self._views)
@@ -167,9 +171,9 @@
         ]
 
     def relay_of(self, data_centre: str) -> VmView | None:
-        """Return the VM that passes messages on for a data centre.
+        """Return the VM that forwards messages within a data centre.
 
-        Every VM that sees the same live VMs names the same one.
+        All VMs with the same view of the live VMs choose the same one.
         """
         views = [
             view
@@ -179,7 +183,7 @@
         return min(views, key=lambda v: v.identity.vm_id, default=None)
 
     def read_distance(self, address: str) -> Distance:
-        """Return how far the VM at a control address is away."""
+        """Return the distance to the VM at a control address."""
         for member in self.group.members_by_id.values():
             if member.identity.control_address == address:
                 return Distance.DATA_CENTRE
@@ -192,14 +196,14 @@
         return Distance.UNKNOWN
 
     async def run(self) -> None:
-        """Keep up with the other VMs until cancelled."""
+        """Run the membership protocol until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.group.run())
             tasks.create_task(self._remote.run())
             tasks.create_task(self._joining.run())
 
     def _list_views(self) -> list[VmView]:
-        views = self._views_here()
+        views = self._local_views()
         for remote in self._remote.live():
             views += self._view_remote(remote)
         return views
@@ -207,7 +211,7 @@
     def _read_state(self) -> VmState:
         return VmState(self._draining, self._read_revision(), self.in_flight)
 
-    def _views_here(self) -> list[VmView]:
+    def _local_views(self) -> list[VmView]:
         services = tuple(self._read_services())
         own = VmView(
             identity=self.identity,
@@ -241,7 +245,7 @@
                 draining=False,
                 revision=remote.revision,
                 services=services,
-                heard_at=remote.heard_at,
+                heard_at=remote.updated_at,
             )
             for identity in remote.entries
         ]
@@ -249,46 +253,46 @@
     def _discounted_services(
         self, remote: RemoteDataCentre
     ) -> tuple[ServiceSummary, ...]:
-        share = self._freshness(remote)
+        factor = self._capacity_factor(remote)
         return tuple(
             ServiceSummary(
                 service=service.service,
                 endpoints=service.endpoints,
                 slots=service.slots,
-                room=int(service.room * share),
+                room=int(service.room * factor),
                 queue_seconds=service.queue_seconds,
                 warmth=service.warmth,
             )
             for service in remote.services
         )
 
-    def _freshness(self, remote: RemoteDataCentre) -> float:
-        # All others see the same room and fill it while the next summary
-        # is on its way: what is older counts for less.
-        over = self._remote.age_of(remote.name)
-        over -= self._remote.interval_seconds()
+    def _capacity_factor(self, remote: RemoteDataCentre) -> float:
+        # All data centres see the same free capacity and use it before the
+        # next summary arrives, so an overdue summary counts for less.
+        overdue_seconds = self._remote.age_of(remote.name)
+        overdue_seconds -= self._remote.interval_seconds()
         limit = self._remote.stale_seconds()
-        return min(1.0, max(0.0, 1.0 - over / limit))
+        return min(1.0, max(0.0, 1.0 - overdue_seconds / limit))
 
     def _relay_ids(self) -> list[str]:
         ids = [] if self._draining else [self.identity.vm_id]
         for member in self.group.live_members():
-            is_fit = member.health is Health.ALIVE
-            if is_fit and member.state and not member.state.draining:
+            is_alive = member.health is Health.ALIVE
+            if is_alive and member.state and not member.state.draining:
                 ids.append(member.identity.vm_id)
         return ids
 
-    def _read_headline(self) -> frozenset[str]:
+    def _read_urgent_state(self) -> frozenset[str]:
         services = [s.service for s in self._read_services() if s.endpoints]
         return frozenset([*services, *self._relay_ids()])
 
     def _make_summary(self, data_centre: str) -> DataCentreSummary:
-        # Each data centre is told of other entries, so that what comes from
-        # all of them spreads over the VMs here.
-        by_id = {v.identity.vm_id: v.identity for v in self._views_here()}
-        # A VM that takes no callers has no address for them.
+        # Each data centre gets different entries, so that the forwarded
+        # requests spread over the VMs here.
+        by_id = {v.identity.vm_id: v.identity for v in self._local_views()}
+        # A VM that serves no callers has no HTTP address.
         entries = [n for n in self._relay_ids() if by_id[n].http_address]
-        names = choose_by_hash(entries, data_centre, ENTRIES_A_SUMMARY)
+        names = choose_by_hash(entries, data_centre, ENTRIES_PER_SUMMARY)
         summaries = self._read_services()
         return DataCentreSummary(
             data_centre=self.identity.data_centre,
@@ -305,7 +309,7 @@
                 for name in names
             ],
             services=[summary.service for summary in summaries],
-            figures=[make_figures(summary) for summary in summaries],
+            figures=[encode_figures(summary) for summary in summaries],
         )
 
 
--- a/burdockdrum/vms/drain.py
+++ b/burdockdrum/vms/drain.py
@@ -1,9 +1,8 @@
-"""Take this VM out of use without cutting off anybody.
+"""Graceful drain of this VM, on SIGTERM or by an operator.
 
-First it is off the lists while it still serves, for as long as callers may
-hold a list that names it. Then new work is refused as "not run", what runs
-is finished, and leases are handed on. SIGTERM and the operator's drain both
-end here.
+The VM is first removed from the entry lists, but serves for as long as callers
+may use a list that names it. Then new requests are refused as "not run",
+running ones finish, and hooks release leases and the like.
 """
 
 import asyncio
@@ -23,26 +22,26 @@
 from burdockdrum.vms.directory import VmDirectory
 from burdockdrum.vms.selection import VALID_SECONDS
 
-# Other entries may hand out a list with this VM until they have heard.
-HEARD_SECONDS = 1.0
-HOOKS_SECONDS = 5.0
-POLL_SECONDS = 0.05
+# Other entries may return lists with this VM until the drain reaches them.
+PROPAGATION_SECONDS = 1.0
+HOOKS_TIMEOUT_SECONDS = 5.0
+POLL_INTERVAL_SECONDS = 0.05
 RETRY_AFTER_SECONDS = 1.0
 
 Hook = Callable[[], Awaitable[None]]
 
 
 class DrainState(enum.Enum):
-    """How far a VM is on its way out."""
+    """The steps of a drain."""
 
     SERVING = "serving"
-    LEAVING = "leaving"
+    DRAINING = "leaving"
     REFUSING = "refusing"
     DONE = "done"
 
 
 class Drain:
-    """Count the requests in flight and see this VM out."""
+    """Counts the requests in flight and drains this VM."""
 
     def __init__(
         self,
@@ -51,43 +50,43 @@
         timeline: Timeline,
         vms: VmDirectory,
         limit_seconds: float,
-        lists_seconds: float = VALID_SECONDS + HEARD_SECONDS,
+        lists_seconds: float = VALID_SECONDS + PROPAGATION_SECONDS,
     ) -> None:
         """Create a drain that has not begun.
 
-        :param lists_seconds: how long callers may hold a list with this VM
-        :param limit_seconds: how long running requests are waited for
+        :param lists_seconds: how long callers may use a list with this VM
+        :param limit_seconds: the longest wait for running requests
         """
         self.state = DrainState.SERVING
         self.done = asyncio.Event()
         self._clock = clock
         self._timeline = timeline
         self._vms = vms
-        self._limit = limit_seconds
+        self._limit_seconds = limit_seconds
         self._lists_seconds = lists_seconds
-        self._begun = asyncio.Event()
+        self._begin_event = asyncio.Event()
         self._hooks: list[Hook] = []
 
     def add_hook(self, hook: Hook) -> None:
-        """Call a coroutine function once nothing runs any more.
+        """Register a coroutine function to call when no request runs.
 
-        It hands on what this VM holds for others, such as leases, within
-        ``HOOKS_SECONDS``.
+        It releases or transfers state such as leases, and is cancelled after
+        ``HOOKS_TIMEOUT_SECONDS``.
         """
         self._hooks.append(hook)
 
     def begin(self) -> None:
-        """Start the drain; a second call changes nothing."""
+        """Start the drain; further calls have no effect."""
         if self.state is not DrainState.SERVING:
             return
-        self._enter(DrainState.LEAVING)
+        self._enter(DrainState.DRAINING)
         self._vms.draining = True
-        self._begun.set()
+        self._begin_event.set()
 
     def check(self) -> None:
-        """Refuse new work where this VM takes none.
+        """Check that this VM still accepts requests.
 
-        :raises Refusal: as "not run", when a caller should use another VM
+        :raises Refusal: as "not run", if the caller should use another VM
         """
         if self.state in (DrainState.REFUSING, DrainState.DONE):
             raise Refusal(
@@ -99,7 +98,7 @@
 
     @contextlib.contextmanager
     def count_request(self) -> Iterator[None]:
-        """Count a request from its arrival to the end of its answer."""
+        """Count a request as in flight until the end of its response."""
         self._vms.in_flight += 1
         try:
             yield
@@ -107,39 +106,46 @@
             self._vms.in_flight -= 1
 
     async def run(self) -> None:
-        """Wait for the beginning of the drain and bring it to its end."""
-        await self._begun.wait()
-        logger.info("draining: off the lists, then finishing what runs")
+        """Wait until the drain begins, then carry it out."""
+        await self._begin_event.wait()
+        logger.info(
+            "draining: removed from entry lists, serving for {} s",
+            self._lists_seconds,
+        )
         await self._clock.sleep(self._lists_seconds)
         self._enter(DrainState.REFUSING)
         await self._wait_for_requests()
-        await self._hand_on()
+        await self._run_hooks()
         self._enter(DrainState.DONE)
         self.done.set()
 
     async def _wait_for_requests(self) -> None:
-        until = self._clock.monotonic() + self._limit
+        until = self._clock.monotonic() + self._limit_seconds
         while self._vms.in_flight:
             if self._clock.monotonic() >= until:
                 count = self._vms.in_flight
-                logger.warning("the limit has passed: {} cut off", count)
+                logger.warning(
+                    "drain limit of {} s has passed: {} requests cut off",
+                    self._limit_seconds,
+                    count,
+                )
                 self._timeline.record("drain.limit_passed", requests=count)
                 return
-            await self._clock.sleep(POLL_SECONDS)
+            await self._clock.sleep(POLL_INTERVAL_SECONDS)
 
-    async def _hand_on(self) -> None:
+    async def _run_hooks(self) -> None:
         try:
-            async with asyncio.timeout(HOOKS_SECONDS):
+            async with asyncio.timeout(HOOKS_TIMEOUT_SECONDS):
                 results = await asyncio.gather(
                     *(hook() for hook in self._hooks), return_exceptions=True
                 )
         except TimeoutError:
-            logger.warning("handing on took over {} s", HOOKS_SECONDS)
+            logger.warning("drain hooks took over {} s", HOOKS_TIMEOUT_SECONDS)
             return
         for result in results:
             if isinstance(result, Exception):
-                # What a lease's holder failed to hand on runs out by itself.
-                logger.opt(exception=result).warning("handing on failed")
+                # Leases that were not released expire by themselves.
+                logger.opt(exception=result).warning("drain hook failed")
 
     def _enter(self, state: DrainState) -> None:
         self.state = state
--- a/burdockdrum/vms/endpoint_sharing.py
+++ b/burdockdrum/vms/endpoint_sharing.py
@@ -1,8 +1,8 @@
-"""Tell the other VMs of the data centre about the endpoints that talk here.
+"""Publish the endpoints that report to this VM to the others here.
 
-A record names an endpoint once; after that only its load travels, under a
-small number, and only when it has changed. Prefixes of its cache travel as
-far as a fixed budget allows, the latest first.
+To save bandwidth, a full record is published once per endpoint. Its load
+follows under a short numeric key and only when it changes, and its cached
+prefixes within a fixed budget, the latest first.
 """
 
 from dataclasses import replace
@@ -20,20 +20,19 @@
 LOAD_TOPIC = 4
 CACHE_TOPIC = 5
 
-# Hashes of 5 bytes for each of 16 peers: under 2 KB a tick.
-PREFIXES_A_TICK = 24
-PREFIXES_AN_ENDPOINT_A_TICK = 8
-# Younger figures are as fresh as the reports; their age is not sent.
-FRESH_SECONDS = 2 * REPORT_SECONDS
-# Renewing each copy with each of four ticks a second was half of the CPU
-# of a VM with 160 endpoints in a data centre of four.
-REFRESH_SECONDS = 0.9
-_TENTHS = 10
+# With hashes of 5 bytes and 16 peers this is under 2 KB per tick.
+MAX_PREFIXES_PER_TICK = 24
+MAX_PREFIXES_PER_ENDPOINT_TICK = 8
+# The age of a younger load is not sent: it is as recent as reports are.
+FRESH_AGE_SECONDS = 2 * REPORT_SECONDS
+# Renewing every copy at every tick would dominate the CPU time of a VM.
+REFRESH_INTERVAL_SECONDS = 0.9
+_TENTHS_PER_SECOND = 10
 _PERCENT = 100
 
 
 class EndpointRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What seldom changes about an endpoint."""
+    """The properties of an endpoint that rarely change."""
 
     endpoint_id: str
     incarnation: int
@@ -44,13 +43,14 @@
     adapters: list[str]
     role: str
     checks_fencing: bool
-    leaving: bool
+    draining: bool
 
 
 class LoadRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What an endpoint last reported, memory in hundredths.
+    """The last load report of an endpoint.
 
-    ``age`` is in tenths of a second, 0 where it is as fresh as reports are.
+    ``memory`` is in hundredths, ``age`` in tenths of a second, 0 if the load
+    is as recent as reports are.
     """
 
     running: int
@@ -61,29 +61,29 @@
 
 
 class EndpointSharing:
-    """Publish this VM's endpoints and mirror those of the others."""
+    """Publishes this VM's endpoints and mirrors those of the other VMs."""
 
     def __init__(
         self, *, clock: Clock, group: VmGroup, registry: EndpointRegistry
     ) -> None:
-        """Join a registry to the publications of a group."""
+        """Connect an endpoint registry to the publications of a group."""
         self._clock = clock
         self._group = group
         self._registry = registry
-        # Each start of an endpoint has a key of its own, so that no figure
-        # of an old one is taken for the new one's.
-        self._keys_by_start: dict[tuple[str, int], int] = {}
+        # Each incarnation of an endpoint has its own key, so that a load of
+        # an old incarnation is not applied to a new one.
+        self._keys_by_incarnation: dict[tuple[str, int], int] = {}
         self._next_key = 0
         self._loads_by_key: dict[int, LoadRecord] = {}
         self._ids_by_source: dict[str, dict[int, str]] = {}
         self._loads_by_source: dict[tuple[str, str], LoadRecord] = {}
-        self._fresh_loads: set[tuple[str, str]] = set()
-        registry.add_listener(group.urge)
+        self._updated_loads: set[tuple[str, str]] = set()
+        registry.add_listener(group.request_tick)
         registry.entries = self._list_entries
         group.add_source(self._publish)
-        group.subscribe(ENDPOINT_TOPIC, self._take_endpoint)
-        group.subscribe(LOAD_TOPIC, self._take_load)
-        group.subscribe(CACHE_TOPIC, self._take_cache)
+        group.subscribe(ENDPOINT_TOPIC, self._handle_endpoint)
+        group.subscribe(LOAD_TOPIC, self._handle_load)
+        group.subscribe(CACHE_TOPIC, self._handle_cache)
         group.add_sync_handler(self._refresh)
 
     def _publish(self) -> None:
@@ -92,28 +92,28 @@
             (endpoint.endpoint_id, endpoint.incarnation): endpoint
             for endpoint in self._registry.own_endpoints()
         }
-        for start in self._keys_by_start.keys() - own.keys():
-            key = self._keys_by_start.pop(start)
+        for start in self._keys_by_incarnation.keys() - own.keys():
+            key = self._keys_by_incarnation.pop(start)
             self._loads_by_key.pop(key, None)
             for topic in (ENDPOINT_TOPIC, LOAD_TOPIC, CACHE_TOPIC):
                 self._group.drop(topic, key)
         now = self._clock.monotonic()
-        prefixes_left = PREFIXES_A_TICK
+        prefixes_left = MAX_PREFIXES_PER_TICK
         for endpoint in own.values():
             key = self._key_of(endpoint)
             record = _make_record(endpoint, self._registry.has_left(endpoint))
             self._group.put(ENDPOINT_TOPIC, key, record)
             self._put_load(key, _make_load(endpoint, now))
             cache = self._registry.cache_of(endpoint.endpoint_id)
-            limit = min(prefixes_left, PREFIXES_AN_ENDPOINT_A_TICK)
+            limit = min(prefixes_left, MAX_PREFIXES_PER_ENDPOINT_TICK)
             fresh = cache.take_fresh(limit)
             prefixes_left -= len(fresh)
             if fresh:
                 self._group.put(CACHE_TOPIC, key, fresh)
 
     def _put_load(self, key: int, load: LoadRecord) -> None:
-        # The sequence alone is no news: it only decides between the copies
-        # of two reporters, and theirs are equal where no figure changed.
+        # A change of the sequence alone is not published: it only orders the
+        # copies of two VMs, which agree if the load is the same.
         known = self._loads_by_key.get(key)
         if known is not None:
             same = msgspec.structs.replace(known, sequence=load.sequence)
@@ -124,14 +124,14 @@
 
     def _key_of(self, endpoint: Endpoint) -> int:
         start = (endpoint.endpoint_id, endpoint.incarnation)
-        key = self._keys_by_start.get(start)
+        key = self._keys_by_incarnation.get(start)
         if key is None:
             key = self._next_key
             self._next_key += 1
-            self._keys_by_start[start] = key
+            self._keys_by_incarnation[start] = key
         return key
 
-    def _take_endpoint(
+    def _handle_endpoint(
         self, vm_id: str, key: int, value: msgspec.Raw | None
     ) -> None:
         ids = self._ids_by_source.setdefault(vm_id, {})
@@ -149,19 +149,19 @@
         known = self._registry.copy_of(vm_id, record.endpoint_id)
         endpoint = _read_record(record, known, now)
         self._registry.take_copy(vm_id, endpoint)
-        if record.leaving:
+        if record.draining:
             self._registry.leave(record.endpoint_id, record.incarnation)
 
-    def _take_load(
+    def _handle_load(
         self, vm_id: str, key: int, value: msgspec.Raw | None
     ) -> None:
         endpoint_id = self._ids_by_source.get(vm_id, {}).get(key)
         if value is not None and endpoint_id is not None:
             load = msgspec.msgpack.decode(value, type=LoadRecord)
             self._loads_by_source[(vm_id, endpoint_id)] = load
-            self._fresh_loads.add((vm_id, endpoint_id))
+            self._updated_loads.add((vm_id, endpoint_id))
 
-    def _take_cache(
+    def _handle_cache(
         self, vm_id: str, key: int, value: msgspec.Raw | None
     ) -> None:
         endpoint_id = self._ids_by_source.get(vm_id, {}).get(key)
@@ -171,16 +171,16 @@
         self._registry.cache_of(endpoint_id).add(prefixes)
 
     def _refresh(self, vm_id: str) -> None:
-        """Renew the copies of a VM whose publication is up to date."""
+        """Renew the leases of copies from a VM whose records are current."""
         now = self._clock.monotonic()
-        due = now + COPY_LEASE_SECONDS - REFRESH_SECONDS
+        due = now + COPY_LEASE_SECONDS - REFRESH_INTERVAL_SECONDS
         for endpoint_id in self._ids_by_source.get(vm_id, {}).values():
             copy = self._registry.copy_of(vm_id, endpoint_id)
             if copy is None:
                 continue
             source = (vm_id, endpoint_id)
-            if source in self._fresh_loads:
-                self._fresh_loads.discard(source)
+            if source in self._updated_loads:
+                self._updated_loads.discard(source)
             elif copy.lease_until > due:
                 continue
             load = self._loads_by_source.get(source)
@@ -198,7 +198,7 @@
         return [self._group.identity.http_address, *others]
 
 
-def _make_record(endpoint: Endpoint, leaving: bool) -> EndpointRecord:
+def _make_record(endpoint: Endpoint, draining: bool) -> EndpointRecord:
     return EndpointRecord(
         endpoint.endpoint_id,
         endpoint.incarnation,
@@ -209,7 +209,7 @@
         sorted(endpoint.adapters),
         endpoint.role,
         endpoint.checks_fencing,
-        leaving,
+        draining,
     )
 
 
@@ -238,8 +238,8 @@
 
 
 def _renew(copy: Endpoint, load: LoadRecord, now: float) -> Endpoint:
-    # A load that bears an age is not sent again while that age grows with
-    # the clock here as it does there.
+    # A load with an age is not sent again as it gets older, so the time of
+    # its report is only set once.
     is_fresh = load.age == 0
     changed = load.sequence != copy.sequence or is_fresh
     return replace(
@@ -248,7 +248,9 @@
         waiting=load.waiting,
         memory_used=load.memory / _PERCENT,
         sequence=load.sequence,
-        reported_at=now - load.age / _TENTHS if changed else copy.reported_at,
+        reported_at=now - load.age / _TENTHS_PER_SECOND
+        if changed
+        else copy.reported_at,
         lease_until=now + COPY_LEASE_SECONDS,
     )
 
@@ -260,5 +262,5 @@
         endpoint.waiting,
         round(endpoint.memory_used * _PERCENT),
         endpoint.sequence,
-        0 if age <= FRESH_SECONDS else round(age * _TENTHS),
+        0 if age <= FRESH_AGE_SECONDS else round(age * _TENTHS_PER_SECOND),
     )
--- a/burdockdrum/vms/joining.py
+++ b/burdockdrum/vms/joining.py
@@ -1,4 +1,4 @@
-"""How VMs learn of each other, at the start and after long silence."""
+"""Discovery of other VMs, at the start and after a partition."""
 
 import asyncio
 import random
@@ -15,19 +15,19 @@
 from burdockdrum.vms.messages import Welcome
 from burdockdrum.vms.remote import RemoteDataCentres
 
-HELLO_SECONDS = 2.0
+HELLO_INTERVAL_SECONDS = 2.0
 HELLO_TIMEOUT_SECONDS = 1.5
-# The join addresses serve every data centre: greeted often at the start,
-# then now and then, and by one VM of each data centre only.
-EAGER_SECONDS = 15.0
-EAGER_HELLO_SECONDS = 0.5
-JOIN_SECONDS = 20.0
-# VMs named of each other data centre.
-CONTACTS = 2
+# The join addresses serve all data centres. They get frequent hellos at the
+# start, then rare ones, and only from one VM of each data centre.
+STARTUP_SECONDS = 15.0
+STARTUP_HELLO_INTERVAL_SECONDS = 0.5
+JOIN_INTERVAL_SECONDS = 20.0
+# Number of VMs of each other data centre in a welcome.
+CONTACTS_PER_DATA_CENTRE = 2
 
 
-class Joining:
-    """Say hello to join addresses, to dead VMs and to a random live one."""
+class Discovery:
+    """Sends hellos to join addresses, dead VMs and a random live VM."""
 
     def __init__(
         self,
@@ -39,9 +39,9 @@
         group: VmGroup,
         remote: RemoteDataCentres,
     ) -> None:
-        """Create the task.
+        """Create the service and register its message handler.
 
-        :param join: control addresses of one or two VMs to begin with
+        :param join: control addresses of one or two VMs to join through
         """
         self._peers = peers
         self._clock = clock
@@ -51,21 +51,25 @@
         self._group = group
         self._remote = remote
         self._joined_at = float("-inf")
-        self._answered: set[str] = set()
-        peers.register(Hello, self._take_hello)
+        self._answered_addresses: set[str] = set()
+        peers.register(Hello, self._handle_hello)
 
     async def run(self) -> None:
-        """Greet until cancelled."""
+        """Send hellos until cancelled."""
         started = self._clock.monotonic()
         async with asyncio.TaskGroup() as tasks:
             while True:
-                eager = self._clock.monotonic() - started < EAGER_SECONDS
-                for address in self._targets(eager):
-                    tasks.create_task(self._greet(address))
-                pause = EAGER_HELLO_SECONDS if eager else HELLO_SECONDS
+                starting = self._clock.monotonic() - started < STARTUP_SECONDS
+                for address in self._targets(starting):
+                    tasks.create_task(self._send_hello(address))
+                pause = (
+                    STARTUP_HELLO_INTERVAL_SECONDS
+                    if starting
+                    else HELLO_INTERVAL_SECONDS
+                )
                 await self._clock.sleep(pause)
 
-    def _targets(self, eager: bool) -> list[str]:
+    def _targets(self, starting: bool) -> list[str]:
         members = list(self._group.members_by_id.values())
         live = [m for m in members if m.health is not Health.DEAD]
         dead = [m for m in members if m.health is Health.DEAD]
@@ -74,21 +78,25 @@
             chosen = self._rng.choice(live)
             targets.add(chosen.identity.control_address)
         now = self._clock.monotonic()
-        due = now - self._joined_at >= JOIN_SECONDS and self._is_first(live)
+        due = (
+            now - self._joined_at >= JOIN_INTERVAL_SECONDS
+            and self._is_first(live)
+        )
         alone = not live and not self._remote.known_by_name
         if due or alone:
             self._joined_at = now
             targets.update(self._join)
-        elif eager:
-            # Once is enough for each: thousands of VMs may start together.
-            targets.update(set(self._join) - self._answered)
+        elif starting:
+            # Only those that have not answered: thousands of VMs may start
+            # together.
+            targets.update(set(self._join) - self._answered_addresses)
         return sorted(targets)
 
     def _is_first(self, live: list) -> bool:
         own = self._group.identity.vm_id
         return all(own < member.identity.vm_id for member in live)
 
-    async def _greet(self, address: str) -> None:
+    async def _send_hello(self, address: str) -> None:
         identity = self._group.identity
         hello = Hello(
             identity=identity,
@@ -101,16 +109,16 @@
             )
         except CallFailed:
             return
-        self._answered.add(address)
+        self._answered_addresses.add(address)
         for found in [welcome.identity, *welcome.vms]:
-            self._take_in(found)
+            self._add_vm(found)
 
-    async def _take_hello(
+    async def _handle_hello(
         self, sender: Sender, hello: Hello
     ) -> Message | None:
-        self._take_in(hello.identity)
+        self._add_vm(hello.identity)
         if hello.identity.data_centre == self._group.identity.data_centre:
-            self._group.answer_hello(hello.identity)
+            self._group.handle_hello(hello.identity)
         return Welcome(
             identity=self._group.identity, vms=self._list_missing(hello)
         )
@@ -119,17 +127,17 @@
         missing = []
         here = [m.identity for m in self._group.live_members()]
         if hello.identity.data_centre != self._group.identity.data_centre:
-            missing += here[:CONTACTS]
+            missing += here[:CONTACTS_PER_DATA_CENTRE]
         elif hello.digest != self._group.digest():
             missing += here
         if hello.remote_digest != self._remote.digest():
-            missing += self._remote.contacts(CONTACTS)
+            missing += self._remote.contacts(CONTACTS_PER_DATA_CENTRE)
         else:
             missing += self._remote.contacts_in(hello.identity.data_centre)
         return missing
 
-    def _take_in(self, identity: VmIdentity) -> None:
+    def _add_vm(self, identity: VmIdentity) -> None:
         if identity.data_centre == self._group.identity.data_centre:
-            self._group.introduce(identity)
+            self._group.add_member(identity)
         else:
-            self._remote.introduce(identity)
+            self._remote.add_contact(identity)
--- a/burdockdrum/vms/members.py
+++ b/burdockdrum/vms/members.py
@@ -1,4 +1,4 @@
-"""Another VM of this data centre, as a VM knows it."""
+"""The state that a VM stores about another VM of its data centre."""
 
 from dataclasses import dataclass
 
@@ -11,7 +11,7 @@
 
 
 class VmState(msgspec.Struct, frozen=True, array_like=True):
-    """What a VM publishes of itself beside its identity."""
+    """The state that a VM publishes beside its identity."""
 
     draining: bool
     revision: int
@@ -20,11 +20,11 @@
 
 @dataclass(kw_only=True)
 class Member:
-    """Another VM of this data centre; ``state`` is None until heard."""
+    """Another VM of this data centre; ``state`` is None until received."""
 
     identity: VmIdentity
     publication: Publication
     heartbeat: Heartbeat
     state: VmState | None = None
     health: Health = Health.ALIVE
-    asked_at: float = float("-inf")
+    queried_at: float = float("-inf")
--- a/burdockdrum/vms/messages.py
+++ b/burdockdrum/vms/messages.py
@@ -1,4 +1,4 @@
-"""What VMs tell each other about themselves."""
+"""Messages of the membership protocol and of data centre summaries."""
 
 import msgspec
 
@@ -8,12 +8,12 @@
 
 
 class ServiceSummary(msgspec.Struct, frozen=True, kw_only=True):
-    """What a data centre can take of one service.
+    """The capacity of a data centre for one service.
 
-    ``room`` is the number of requests that could start at once,
-    ``queue_seconds`` how long a new one would wait, ``slots`` the capacity
-    of the endpoints that live and ``warmth`` the share of them that has
-    served for a while, from 0 to 1.
+    ``slots`` is the capacity of the live endpoints, ``room`` the number of
+    requests that could start at once, ``queue_seconds`` the wait of a new
+    request and ``warmth`` the fraction of endpoints, from 0 to 1, that have
+    served for a while.
     """
 
     service: str
@@ -25,7 +25,7 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """One value of a publication; ``value`` is nil where it was dropped."""
+    """One value of a publication; ``value`` is nil if it was dropped."""
 
     topic: int
     key: int
@@ -33,10 +33,10 @@
 
 
 class Changes(Message, frozen=True, kw_only=True, array_like=True):
-    """What changed in the publication of a VM after ``since``.
+    """The changes of a VM's publication after sequence ``since``.
 
-    ``full`` says that the records are all there are. A VM passes on what
-    it holds of another's publication in the same form.
+    If ``full`` is set, the records are the whole publication. A VM also
+    forwards its copy of another VM's publication in this form.
     """
 
     vm_id: str
@@ -47,23 +47,25 @@
     records: list[Record]
 
 
-class Ask(Message, frozen=True, kw_only=True, array_like=True):
-    """A wish for what changed in the publication of a VM after ``have``.
+class ChangesQuery(Message, frozen=True, kw_only=True, array_like=True):
+    """A query for changes of a VM's publication after sequence ``have``.
 
-    It goes to that VM or to a third one: the answer of a third proves that
-    the VM lives where the direct link fails.
+    It is sent to that VM or to a third one, whose reply shows that the VM is
+    alive although the direct link fails.
     """
 
+    wire_kind = "vms.Ask"
+
     vm_id: str
     incarnation: int
     have: int
 
 
 class Hello(Message, frozen=True, kw_only=True):
-    """A VM's introduction, answered by ``Welcome``.
+    """A VM's announcement to another, answered by ``Welcome``.
 
-    ``digest`` stands for the VMs of its data centre that it knows, and
-    ``remote_digest`` for the other data centres.
+    ``digest`` is a checksum over the live VMs that it knows in its data
+    centre, ``remote_digest`` one over the data centres.
     """
 
     identity: VmIdentity
@@ -72,16 +74,16 @@
 
 
 class Welcome(Message, frozen=True, kw_only=True):
-    """Who answers a hello, and the VMs that the asker should know."""
+    """The reply to a hello, with VMs that its sender may not know."""
 
     identity: VmIdentity
     vms: list[VmIdentity]
 
 
 class ServiceFigures(msgspec.Struct, frozen=True, array_like=True):
-    """A ``ServiceSummary`` without its name, in short form for the wire.
+    """The compact encoding of a ``ServiceSummary``, without the name.
 
-    Queue in tenths of a second, warmth in hundredths.
+    ``queue`` is in tenths of a second, ``warmth`` in hundredths.
     """
 
     endpoints: int
@@ -92,7 +94,7 @@
 
 
 class EntryAddress(msgspec.Struct, frozen=True, array_like=True):
-    """An entry VM of a data centre that is named beside it."""
+    """The address of an entry VM, whose data centre is sent beside it."""
 
     vm_id: str
     incarnation: int
@@ -101,11 +103,11 @@
 
 
 class DataCentreSummary(Message, frozen=True, kw_only=True, array_like=True):
-    """What a data centre tells another one about itself.
+    """The summary of a data centre, sent to another one.
 
-    ``made_at`` orders the summaries of one data centre, whichever of its
-    VMs sent them. ``entries`` are a few VMs to forward to; ``figures`` go
-    with ``services``, in their order.
+    ``made_at`` orders the summaries of a data centre across its VMs.
+    ``entries`` are a few VMs to forward to; ``figures`` has an item for each
+    item of ``services``.
     """
 
     data_centre: str
--- a/burdockdrum/vms/publication.py
+++ b/burdockdrum/vms/publication.py
@@ -1,4 +1,4 @@
-"""The records that one VM publishes, and another VM's copy of them."""
+"""The versioned records that a VM publishes, and copies of them."""
 
 import collections
 from dataclasses import dataclass
@@ -8,8 +8,8 @@
 from burdockdrum.vms.messages import Changes
 from burdockdrum.vms.messages import Record
 
-# Dropped records remembered, so that a peer that missed some ticks is told
-# of the drops alone; one that missed more is sent everything.
+# Number of drops stored, so that a peer that missed a few ticks gets only the
+# changes. A peer that missed more gets the whole publication.
 MAX_DROPPED = 512
 NIL = msgspec.Raw(b"\xc0")
 
@@ -23,11 +23,11 @@
 
 
 class Publication:
-    """Records by topic and key, with the sequence that last changed each.
+    """Records by topic and key, with the sequence of their last change.
 
-    The sequence grows with each tick of its owner, also without changes:
-    its growth is the owner's heartbeat (van Renesse, Minsky and Hayden, "A
-    gossip-style failure detection service", 1998).
+    The owner increments the sequence at each tick, also without changes. This
+    is its heartbeat (van Renesse, Minsky and Hayden, "A gossip-style failure
+    detection service", 1998).
     """
 
     def __init__(self, *, vm_id: str, incarnation: int) -> None:
@@ -39,7 +39,7 @@
         self._dropped_at_by_key: collections.OrderedDict[RecordKey, int] = (
             collections.OrderedDict()
         )
-        # Before this sequence drops have been forgotten.
+        # Drops up to this sequence are no longer stored.
         self._horizon = 0
         self._pending: dict[RecordKey, msgspec.Raw | None] = {}
 
@@ -53,7 +53,7 @@
         return value.raw if value else None
 
     def put(self, topic: int, key: int, raw: bytes) -> None:
-        """Set a value from the next tick on."""
+        """Set a value with effect from the next sequence."""
         known = self._values_by_key.get((topic, key))
         if known is not None and bytes(known.raw) == raw:
             self._pending.pop((topic, key), None)
@@ -61,14 +61,14 @@
             self._pending[(topic, key)] = msgspec.Raw(raw)
 
     def drop(self, topic: int, key: int) -> None:
-        """Remove a value from the next tick on."""
+        """Remove a value with effect from the next sequence."""
         if (topic, key) in self._values_by_key:
             self._pending[(topic, key)] = None
         else:
             self._pending.pop((topic, key), None)
 
     def advance(self) -> Changes:
-        """Begin the next sequence and return what changed with it."""
+        """Begin the next sequence and return its changes."""
         since = self.sequence
         self.sequence += 1
         for key, raw in self._pending.items():
@@ -81,7 +81,7 @@
         return self._changes(since, False, records)
 
     def changes_since(self, sequence: int) -> Changes:
-        """Return what changed after a sequence, or everything."""
+        """Return the changes after a sequence, or all records if too old."""
         if sequence < max(self._horizon, 1):
             return self._changes(0, True, self._all_records())
         keys = [
@@ -98,43 +98,42 @@
         return self._changes(sequence, False, records)
 
     def apply(self, changes: Changes) -> list[Record] | None:
-        """Take over what the owner changed.
+        """Apply changes of the owner to this copy.
 
-        :returns: the records that are news, or None on a gap: nothing was
-            taken over and the changes since ``sequence`` have to be asked
-            for
+        :returns: the records that changed, or None on a gap: nothing was
+            applied, and the changes since ``sequence`` must be queried
         """
         if changes.sequence <= self.sequence:
             return []
         if not changes.full and changes.since > self.sequence:
             return None
-        news = []
+        changed = []
         if changes.full:
-            news += self._drop_missing(changes)
+            changed += self._drop_missing(changes)
         for record in changes.records:
-            if self._take(record, changes.sequence):
-                news.append(record)
+            if self._apply_record(record, changes.sequence):
+                changed.append(record)
         self.sequence = changes.sequence
-        return news
+        return changed
 
     def clear(self) -> list[Record]:
-        """Remove everything; return the records of the drops."""
+        """Remove all values and return the records of their drops."""
         keys = list(self._values_by_key)
         self._values_by_key.clear()
         return [Record(topic, key, NIL) for topic, key in keys]
 
-    def _take(self, record: Record, sequence: int) -> bool:
+    def _apply_record(self, record: Record, sequence: int) -> bool:
         key = (record.topic, record.key)
         if bytes(record.value) == bytes(NIL):
-            # A drop of what never came here is kept too: a third VM that
-            # has the value may ask this one.
-            was_there = key in self._values_by_key
+            # The drop of an unknown value is stored too: a third VM that has
+            # the value may query this one.
+            was_known = key in self._values_by_key
             self._remove(key, sequence)
-            return was_there
+            return was_known
         known = self._values_by_key.get(key)
         if known is not None and bytes(known.raw) == bytes(record.value):
             return False
-        # A view into the frame that brought it would keep the frame.
+        # Copied, as a view would keep the whole frame in memory.
         self._store(key, msgspec.Raw(bytes(record.value)), sequence)
         return True
 
@@ -143,7 +142,7 @@
         missing = [key for key in self._values_by_key if key not in kept]
         for key in missing:
             self._remove(key, changes.sequence)
-        # Drops before these are not in a full answer, so not known here.
+        # A full reply contains no earlier drops, so they are unknown here.
         self._horizon = changes.sequence
         return [Record(topic, key, NIL) for topic, key in missing]
 
--- a/burdockdrum/vms/selection.py
+++ b/burdockdrum/vms/selection.py
@@ -1,4 +1,4 @@
-"""Which entry VMs a caller is told to use."""
+"""Selection of the entry VMs that a caller is given."""
 
 from collections.abc import Container
 import enum
@@ -9,18 +9,18 @@
 from burdockdrum.vms.directory import VmView
 
 VALID_SECONDS = 5.0
-# The largest data centre has 17 entry VMs today; a list stays below 4 KB.
-MAX_NEAR = 20
+# More than the entry VMs of any data centre; keeps a list below 4 KB.
+MAX_NEAREST = 20
 MAX_BACKUPS = 12
 MAX_WEIGHT = 100
-# With so many requests in flight a VM counts half of an idle one.
-HALF_WEIGHT_IN_FLIGHT = 32
+# Requests in flight at which a VM has half the weight of an idle one.
+HALF_WEIGHT_REQUESTS = 32
 
 
 class EntryChoice(msgspec.Struct, frozen=True, kw_only=True):
     """One entry VM; callers choose in proportion to ``weight``.
 
-    One of weight 0 is for use when all others fail.
+    An entry of weight 0 is a backup, for use if all others fail.
     """
 
     vm_id: str
@@ -31,7 +31,7 @@
 
 
 class EntryList(msgspec.Struct, frozen=True, kw_only=True):
-    """The entry VMs to use for so many seconds."""
+    """The entry VMs to use, and for how long."""
 
     entries: list[EntryChoice]
     valid_seconds: float
@@ -54,12 +54,12 @@
 ) -> EntryList:
     """Choose entry VMs for a caller near a region and data centre.
 
-    The nearest distance that has a healthy VM takes the callers, weighted
-    by load; others are backups. The order is random in proportion to the
-    weights (Efraimidis and Spirakis, 2006), so that callers who only take
-    the first spread as well as those who use the weights. VMs that drain
-    are left out, suspected ones are backups. Where a caller's own region
-    has no entry, one of ``preferred_regions`` may see its data.
+    The healthy VMs at the nearest distance get weights by load; others are
+    backups. The order is a weighted random sample (Efraimidis and Spirakis,
+    2006), so callers that only use the first entry are spread by weight too.
+    Draining VMs are excluded and suspected ones are backups. If the caller's
+    own region has no entry, those of ``preferred_regions`` come first, as
+    they may process its data.
     """
 
     def measure(view: VmView) -> _Distance:
@@ -80,7 +80,7 @@
     backups = [v for v in serving if v.identity.vm_id not in near_ids]
     rng.shuffle(backups)
     backups.sort(key=lambda v: (v.suspected, measure(v)))
-    chosen = near[:MAX_NEAR] + [(v, 0) for v in backups[:MAX_BACKUPS]]
+    chosen = near[:MAX_NEAREST] + [(v, 0) for v in backups[:MAX_BACKUPS]]
     return EntryList(
         entries=[_describe(view, weight) for view, weight in chosen],
         valid_seconds=VALID_SECONDS,
@@ -96,13 +96,13 @@
 
 
 def _weigh(view: VmView) -> int:
-    load = 1 + view.in_flight / HALF_WEIGHT_IN_FLIGHT
-    return max(1, round(MAX_WEIGHT / load * _room_share(view)))
+    load = 1 + view.in_flight / HALF_WEIGHT_REQUESTS
+    return max(1, round(MAX_WEIGHT / load * _capacity_factor(view)))
 
 
-def _room_share(view: VmView) -> float:
-    # The VMs of one data centre share its room, so it only counts between
-    # data centres. A full one still takes callers: it can pass work on.
+def _capacity_factor(view: VmView) -> float:
+    # The VMs of a data centre share its capacity, so the factor only differs
+    # between data centres. A full one still gets callers, as it can forward.
     slots = sum(service.slots for service in view.services)
     room = sum(service.room for service in view.services)
     return 0.25 + 0.75 * min(1.0, room / slots) if slots else 0.25
--- a/burdockdrum/vms/services.py
+++ b/burdockdrum/vms/services.py
@@ -1,4 +1,4 @@
-"""Name the services of this package."""
+"""Register the services of this package with the kernel."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 def add_services(kernel: Kernel) -> None:
-    """Name the directory of VMs and what tells it of endpoints."""
+    """Register the VM directory, summaries, endpoint sharing and drain."""
     kernel.add("summaries", _build_summaries)
     kernel.add("vms", _build_vms)
     kernel.add("endpoint_sharing", _build_sharing)
@@ -56,8 +56,8 @@
         lists_seconds=settings.lists_seconds,
     )
     if kernel.has("log"):
-        # A leader that just went would leave operators without answers for
-        # as long as an election takes.
+        # A leader that stops without stepping aside makes the control plane
+        # unavailable until the next election.
         drain.add_hook(kernel.find("log", ReplicatedLog).step_aside)
     return drain
 
--- a/burdockdrum/vms/summaries.py
+++ b/burdockdrum/vms/summaries.py
@@ -1,4 +1,4 @@
-"""What this data centre can take of each service."""
+"""Summaries of this data centre's capacity for each service."""
 
 from collections.abc import Callable
 
@@ -7,18 +7,19 @@
 from burdockdrum.ports import Clock
 from burdockdrum.vms.messages import ServiceSummary
 
-SUMMARIZE_SECONDS = 0.1
-# An endpoint known for so long has filled its prefix cache.
+SUMMARY_MAX_AGE_SECONDS = 0.1
+# An endpoint known for this long counts as having a warm prefix cache.
 WARM_AFTER_SECONDS = 60.0
-# What one request takes, as a rough guess: the router of the data centre
-# that gets the request has better estimates than a summary can carry.
-REQUEST_SECONDS = 2.0
+# A rough estimate; the router of the data centre that gets a request has
+# better ones.
+ASSUMED_REQUEST_SECONDS = 2.0
 
 
 class Summaries:
-    """What this data centre can take, computed anew a few times a second.
+    """Computes the summaries of this data centre and caches them briefly.
 
-    It is asked for with each request that looks beyond this data centre.
+    They are read for every request that may be forwarded to another data
+    centre.
     """
 
     def __init__(
@@ -28,12 +29,12 @@
         configuration: ConfigurationService,
         endpoints: EndpointRegistry,
     ) -> None:
-        """Create summaries that are not computed yet."""
+        """Create the service; summaries are computed when first read."""
         self._clock = clock
         self._configuration = configuration
         self._endpoints = endpoints
-        # Set once the router and the admission exist, which need the VMs:
-        # they know own requests in flight and the line, reports don't.
+        # Set by the router and the admission, which are created later. They
+        # know the requests in flight and the queue, which reports lack.
         self.read_room: Callable[[str], float] | None = None
         self.read_queue_seconds: Callable[[str], float] | None = None
         self._summaries: list[ServiceSummary] = []
@@ -42,7 +43,7 @@
     def read(self) -> list[ServiceSummary]:
         """Return a summary of each service that has endpoints here."""
         now = self._clock.monotonic()
-        if now - self._made_at >= SUMMARIZE_SECONDS:
+        if now - self._made_at >= SUMMARY_MAX_AGE_SECONDS:
             self._made_at = now
             names = self._configuration.current.services_by_name
             found = [self._summarize(name, now) for name in names]
@@ -55,17 +56,17 @@
         running = sum(endpoint.running for endpoint in live)
         waiting = sum(endpoint.waiting for endpoint in live)
         warm = [e for e in live if now - e.known_since >= WARM_AFTER_SECONDS]
-        queue = waiting / slots * REQUEST_SECONDS if slots else 0.0
+        queue = waiting / slots * ASSUMED_REQUEST_SECONDS if slots else 0.0
         return ServiceSummary(
             service=name,
             endpoints=len(live),
             slots=slots,
-            room=self._estimate_room(name, slots - running - waiting),
+            room=self._estimate_capacity(name, slots - running - waiting),
             queue_seconds=self._estimate_queue(name, queue),
             warmth=len(warm) / len(live) if live else 0.0,
         )
 
-    def _estimate_room(self, name: str, reported: int) -> int:
+    def _estimate_capacity(self, name: str, reported: int) -> int:
         if self.read_room is None:
             return max(0, reported)
         return int(self.read_room(name))
--- a/tests/vms/bed.py
+++ b/tests/vms/bed.py
@@ -1,4 +1,4 @@
-"""VMs reduced to membership, over the fakes, for tests and measurements."""
+"""A harness of VMs that only run membership, over a fake network."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 
 class BedVm:
-    """A VM without a web server; ``start`` and ``crash`` as often as told."""
+    """A VM without a web server, which can be started and crashed."""
 
     def __init__(
         self,
@@ -84,7 +84,7 @@
         live = self.registry.candidates("planner")
         room = sum(e.slots - e.running for e in live)
         if self.services > 1:
-            # Several services stand for a loaded data centre.
+            # Several services simulate a loaded data centre.
             room = self._rng.randrange(1000)
         return [
             ServiceSummary(
@@ -107,14 +107,14 @@
         await self.peers.close()
 
     def knows(self, vm_id: str) -> bool:
-        """Say whether a VM is live and not suspected in this VM's view."""
+        """Return whether a VM is live and not suspected in this VM's view."""
         return any(
             view.identity.vm_id == vm_id and not view.suspected
             for view in self.vms.live_vms()
         )
 
     def offers(self, endpoint_id: str) -> bool:
-        """Say whether an endpoint may get new work from this VM."""
+        """Return whether an endpoint may get new requests from this VM."""
         return any(
             endpoint.endpoint_id == endpoint_id
             for endpoint in self.registry.candidates("planner")
@@ -127,7 +127,7 @@
 
 
 class BedEndpoint:
-    """An endpoint that reports to one VM and moves on when it fails."""
+    """An endpoint that reports to one VM, and to another when it fails."""
 
     def __init__(
         self, *, bed: "Bed", endpoint_id: str, reporter: str, seed: int
@@ -160,7 +160,7 @@
 
     async def _run(self) -> None:
         known = False
-        # Endpoints do not start in step.
+        # Endpoints do not report at the same moments.
         await asyncio.sleep(self._rng.random() * REPORT_SECONDS)
         while True:
             vm = self.bed.vms_by_id.get(self.reporter)
@@ -189,7 +189,7 @@
 
 
 class Bed:
-    """VMs by id over one network."""
+    """Starts and crashes VMs and endpoints on one network."""
 
     def __init__(self, *, seed: int) -> None:
         self.network = FakeNetwork(rng=random.Random(seed))
@@ -242,9 +242,9 @@
     async def wait_until(
         self, condition: Callable[[], bool], *, limit: float
     ) -> float:
-        """Wait for a condition; return the seconds it took.
+        """Wait until a condition holds; return the seconds that it took.
 
-        :raises AssertionError: if it did not come about in time
+        :raises AssertionError: if it does not hold within the limit
         """
         loop = asyncio.get_running_loop()
         started = loop.time()
@@ -258,7 +258,7 @@
         return all(condition(vm) for vm in self.vms_by_id.values())
 
     def nobody_offers(self, endpoint_id: str) -> bool:
-        """Say whether no VM gives an endpoint new work."""
+        """Return whether no VM gives an endpoint new requests."""
         return not any(
             vm.offers(endpoint_id) for vm in self.vms_by_id.values()
         )
--- a/tests/vms/test_drain.py
+++ b/tests/vms/test_drain.py
@@ -1,4 +1,4 @@
-"""The steps of a drain."""
+"""Tests of the steps of a drain."""
 
 import asyncio
 import unittest
@@ -17,7 +17,7 @@
 
 
 def make_drain(vm: BedVm) -> Drain:
-    """Return the drain of a VM, running."""
+    """Return a running drain service of a VM."""
     drain = Drain(
         clock=vm.clock,
         timeline=vm.timeline,
@@ -29,12 +29,11 @@
 
 
 class DrainTest(unittest.TestCase):
-    """One VM of two goes."""
+    """A drain of one VM."""
 
-    def test_it_serves_while_lists_name_it_and_refuses_after(self):
-        # A caller got its list a moment before the drain and comes with it
-        # four seconds later: it must be served. One that comes after the
-        # list's validity is told that its request did not run.
+    def test_serves_while_entry_lists_are_valid_and_refuses_after(self):
+        # A caller may use a list from just before the drain while it is
+        # valid; after that its request is refused as "not run".
         async def main():
             bed = Bed(seed=1)
             vm, other = bed.start_vms(2)
@@ -58,22 +57,22 @@
 
         run_virtual(main())
 
-    def test_leases_are_handed_on_after_the_last_answer(self):
-        # A hook that fails or hangs must not keep the VM from going.
+    def test_hooks_run_after_the_last_request(self):
+        # A hook that fails or hangs must not block the drain.
         async def main():
             bed = Bed(seed=2)
             [vm] = bed.start_vms(1)
             drain = make_drain(vm)
             order = []
 
-            async def hand_on():
-                order.append(("handed on", vm.vms.in_flight))
+            async def release():
+                order.append(("released", vm.vms.in_flight))
 
             async def fail():
                 raise OSError("gone")
 
             drain.add_hook(fail)
-            drain.add_hook(hand_on)
+            drain.add_hook(release)
             drain.add_hook(lambda: asyncio.sleep(3600))
             with drain.count_request():
                 drain.begin()
@@ -81,12 +80,12 @@
                 self.assertIs(DrainState.REFUSING, drain.state)
                 self.assertEqual([], order)
             await asyncio.wait_for(drain.done.wait(), 10)
-            self.assertEqual([("handed on", 0)], order)
+            self.assertEqual([("released", 0)], order)
             await bed.stop()
 
         run_virtual(main())
 
-    def test_limit_ends_the_wait_for_an_answer_that_never_ends(self):
+    def test_limit_ends_the_wait_for_a_request_that_never_ends(self):
         async def main():
             bed = Bed(seed=3)
             [vm] = bed.start_vms(1)
--- a/tests/vms/test_endpoint_sharing.py
+++ b/tests/vms/test_endpoint_sharing.py
@@ -1,4 +1,4 @@
-"""What every entry of a data centre knows of an endpoint, and how soon."""
+"""Tests of the replication of endpoints to all entries of a data centre."""
 
 import asyncio
 import unittest
@@ -9,13 +9,13 @@
 
 # The bounds that docs/design/membership.md names, in seconds.
 NEW_WITHIN = 2.0
-LEAVING_WITHIN = 2.0
+DRAINING_WITHIN = 2.0
 DEAD_WITHIN = 6.0
 DEAD_WITH_REPORTER_WITHIN = 8.0
 
 
 class EndpointSharingTest(unittest.TestCase):
-    """Five entries, one of which an endpoint talks to."""
+    """Entries of a data centre, one of which an endpoint reports to."""
 
     def test_new_endpoint_is_offered_by_every_entry(self):
         async def main():
@@ -32,10 +32,9 @@
         run_virtual(main())
 
     def test_leaving_endpoint_gets_no_new_work_under_loss(self):
-        # A caller is sent to an endpoint that said that it leaves. The
-        # message went to an entry that is not its reporter, while a fifth
-        # of all messages is lost. Entries that missed it notice the gap by
-        # the next tick's sequence and ask for what is missing.
+        # The drain is announced to an entry that the endpoint does not report
+        # to, while a fifth of all messages is lost. Entries that missed it
+        # must detect the gap and query the changes.
         async def main():
             bed = Bed(seed=2)
             bed.start_vms(5)
@@ -48,9 +47,9 @@
                 lambda: (
                     not any(vm.offers("e1") for vm in bed.vms_by_id.values())
                 ),
-                limit=LEAVING_WITHIN,
+                limit=DRAINING_WITHIN,
             )
-            # It goes on reporting and stays out.
+            # Its further reports must not bring it back.
             await asyncio.sleep(10)
             self.assertFalse(
                 any(v.offers("e1") for v in bed.vms_by_id.values())
@@ -63,9 +62,8 @@
         run_virtual(main())
 
     def test_entry_that_missed_the_leaving_learns_it_through_another(self):
-        # One entry hears nothing from the endpoint's reporter: the link is
-        # dead in that direction only. It goes on offering the endpoint
-        # unless it asks a third entry for what the reporter published.
+        # The link from the endpoint's reporter to one entry fails in that
+        # direction. The entry must query a third one for the changes.
         async def main():
             bed = Bed(seed=3)
             bed.start_vms(5)
@@ -78,7 +76,7 @@
             endpoint.leave("vm0")
             await bed.wait_until(
                 lambda: not bed.vms_by_id["vm4"].offers("e1"),
-                limit=LEAVING_WITHIN,
+                limit=DRAINING_WITHIN,
             )
             await bed.stop()
 
@@ -103,8 +101,8 @@
         run_virtual(main())
 
     def test_endpoint_that_dies_with_its_reporter_is_offered_by_nobody(self):
-        # A rack goes: the endpoint and the only entry that heard it. No
-        # message withdraws the endpoint, so its copies have to expire.
+        # A rack fails with the endpoint and its reporter. Nothing withdraws
+        # the endpoint, so its copies must expire.
         async def main():
             bed = Bed(seed=5)
             bed.start_vms(5)
@@ -123,9 +121,9 @@
 
         run_virtual(main())
 
-    def test_endpoint_moves_to_another_entry_without_a_break(self):
-        # The entry that an endpoint reports to dies. The endpoint finds
-        # another one; meanwhile the other entries must go on offering it.
+    def test_endpoint_is_offered_while_it_moves_to_another_entry(self):
+        # The endpoint's reporter dies. Until the endpoint reports to another
+        # entry, all others must go on offering it.
         async def main():
             bed = Bed(seed=6)
             bed.start_vms(5)
@@ -141,10 +139,9 @@
         run_virtual(main())
 
     def test_address_that_returns_as_another_service_replaces_the_old(self):
-        # An engine is replaced by one of another service at its address,
-        # announced to another entry. Requests for the old service must not
-        # go there: the old record is gone everywhere, and a late report or
-        # leaving of the old start changes nothing.
+        # An endpoint is replaced by one of another service at its address.
+        # Requests for the old service must not be sent there, and late
+        # messages of the old incarnation must have no effect.
         async def main():
             bed = Bed(seed=7)
             vms = bed.start_vms(3)
@@ -171,7 +168,7 @@
 
         run_virtual(main())
 
-    def test_figures_reach_every_entry_with_their_age(self):
+    def test_loads_reach_every_entry_with_their_age(self):
         async def main():
             bed = Bed(seed=8)
             vms = bed.start_vms(3)
--- a/tests/vms/test_group.py
+++ b/tests/vms/test_group.py
@@ -1,4 +1,4 @@
-"""Which VMs of a data centre live, as each of the others sees it."""
+"""Tests of membership and failure detection within a data centre."""
 
 import asyncio
 import unittest
@@ -12,7 +12,7 @@
 
 
 def count_events(bed: Bed, name: str, **details: object) -> int:
-    """Count the events of that name over all VMs."""
+    """Return the number of events with a name and details on all VMs."""
     return sum(
         1
         for vm in bed.vms_by_id.values()
@@ -22,7 +22,7 @@
 
 
 class VmGroupTest(unittest.TestCase):
-    """Five VMs of one data centre."""
+    """The VMs of one data centre."""
 
     def test_vm_joins_through_one_address(self):
         async def main():
@@ -38,7 +38,7 @@
 
         run_virtual(main())
 
-    def test_dead_vm_is_noticed_by_all(self):
+    def test_dead_vm_is_detected_by_all(self):
         async def main():
             bed = Bed(seed=2)
             bed.start_vms(5)
@@ -56,7 +56,7 @@
 
         run_virtual(main())
 
-    def test_restarted_vm_replaces_its_old_start(self):
+    def test_restarted_vm_replaces_its_old_incarnation(self):
         async def main():
             bed = Bed(seed=3)
             bed.start_vms(5)
@@ -76,9 +76,9 @@
 
         run_virtual(main())
 
-    def test_loss_makes_nobody_suspected(self):
-        # Every twentieth message is lost for two minutes. Three lost ticks
-        # in a row happen now and then; a third VM has heard one of them.
+    def test_message_loss_makes_no_vm_suspected(self):
+        # At a loss of 5 %, three ticks in a row are lost now and then, but a
+        # third VM has received one of them.
         async def main():
             bed = Bed(seed=4)
             bed.start_vms(5)
@@ -91,10 +91,9 @@
 
         run_virtual(main())
 
-    def test_one_way_link_makes_nobody_suspected(self):
-        # vm1 hears nothing from vm0, which hears vm1. If vm1 took that for
-        # vm0's death, callers of vm1 would lose an entry that lives, and
-        # the endpoints that talk to it.
+    def test_link_failure_in_one_direction_makes_no_vm_suspected(self):
+        # vm1 receives nothing from vm0. If it counted vm0 as dead, its
+        # callers would lose a live entry and the endpoints that report to it.
         async def main():
             bed = Bed(seed=5)
             bed.start_vms(5)
@@ -107,10 +106,10 @@
 
         run_virtual(main())
 
-    def test_vm_that_can_only_send_is_left_out_without_flapping(self):
-        # vm0 sends but hears nothing. It believes all others dead, and
-        # says hello to them every two seconds. Were a hello enough to make
-        # it live, it would come and go on every list for as long.
+    def test_vm_that_can_only_send_stays_dead_without_flapping(self):
+        # vm0 sends but receives nothing, so it sends hellos to the others
+        # every two seconds. A hello must not mark it as live, or it would
+        # flap.
         async def main():
             bed = Bed(seed=6)
             bed.start_vms(5)
@@ -130,11 +129,9 @@
 
         run_virtual(main())
 
-    def test_stalled_vm_accuses_nobody(self):
-        # The process of vm0 is paused for thirty seconds. The others count
-        # it dead, rightly. When it goes on, its clock has jumped and its
-        # mailbox is full of old messages: it must not declare all others
-        # dead at once, and all must have it back soon.
+    def test_resumed_vm_declares_no_other_vm_dead(self):
+        # The process of vm0 is paused for thirty seconds. When it resumes, it
+        # must not count the others as dead, and must be live again soon.
         async def main():
             bed = Bed(seed=7)
             vms = bed.start_vms(5)
@@ -154,14 +151,14 @@
 
         run_virtual(main())
 
-    def test_hours_silent_cut_is_noticed_and_healed_in_seconds(self):
-        # A switch drops all between two racks for an hour. Each half goes
-        # on by itself, and finds the other when the switch is mended.
+    def test_long_partition_is_detected_and_healed_in_seconds(self):
+        # A switch drops all packets between two racks for an hour. Each side
+        # must rejoin the other once the switch is repaired.
         self.check_cut(["vm0"], ["vm1"], seconds=3600, seed=8)
 
-    def test_cut_into_two_groups_heals(self):
-        # The same, shorter, with more than one VM on each side: those of
-        # one side must not keep each other from looking for the rest.
+    def test_partition_into_two_groups_heals(self):
+        # Several VMs on each side: live VMs on a side must not prevent the
+        # discovery of the others.
         left, right = ["vm0", "vm1"], ["vm2", "vm3", "vm4"]
         self.check_cut(left, right, seconds=60, seed=10)
 
@@ -191,9 +188,8 @@
 
         run_virtual(main())
 
-    def test_two_vms_with_one_id_are_noticed(self):
-        # An operator copies a settings file and forgets the id. The older
-        # process is told by the messages of the newer one.
+    def test_duplicate_vm_id_is_detected(self):
+        # An operator copies a settings file and forgets to change the id.
         async def main():
             bed = Bed(seed=9)
             vms = bed.start_vms(3)
@@ -211,7 +207,7 @@
 
 
 async def pause(vm, seconds: float) -> None:
-    """Stop a VM's clock and mailbox, as SIGSTOP does, then go on."""
+    """Stop a VM's clock and mailbox for a time, as SIGSTOP does."""
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
     clock_sleep = vm.clock.sleep
--- a/tests/vms/test_group_records.py
+++ b/tests/vms/test_group_records.py
@@ -1,4 +1,4 @@
-"""Records that a VM can't read, and what all of them cost."""
+"""Tests of unreadable records and of the traffic of membership."""
 
 import asyncio
 import unittest
@@ -11,19 +11,18 @@
 VMS = 17
 ENDPOINTS = 160
 SECONDS = 5
-# Of the 8 KB a second for all of control, what membership may take.
-MAX_BYTES = 4096
-MAX_FRAMES = 25
+# The share of membership in the 8 KB/s for all control traffic of a VM.
+MAX_BYTES_PER_SECOND = 4096
+MAX_FRAMES_PER_SECOND = 25
 
 
 class RecordTest(unittest.TestCase):
-    """A publication as a whole."""
+    """Records published by VMs of a data centre."""
 
-    def test_record_of_a_newer_version_does_not_hide_the_others(self):
-        # VMs are upgraded one by one. The new one publishes a record in a
-        # form that the old ones can't read, in the same tick as an endpoint
-        # that appears. They must learn of the endpoint all the same: the
-        # tick is not sent again.
+    def test_unreadable_record_does_not_hide_the_others(self):
+        # During an upgrade a newer VM publishes a record in an unknown format
+        # in the same tick as a new endpoint. The endpoint must still become
+        # known, as the tick is not sent again.
         async def main():
             bed = Bed(seed=1)
             newer, *others = bed.start_vms(3)
@@ -45,19 +44,23 @@
 
         run_virtual(main())
 
-    def test_a_data_centre_of_full_size_stays_within_its_budget(self):
+    def test_traffic_of_the_largest_data_centre_stays_within_its_budget(self):
         async def main():
             bed = Bed(seed=2)
             vms = bed.start_vms(VMS)
             for number in range(ENDPOINTS):
                 bed.start_endpoint(f"e{number}", f"vm{number % VMS}")
             await asyncio.sleep(5)
-            before = [self.read(vm) for vm in vms]
+            before = [self.read_traffic(vm) for vm in vms]
             await asyncio.sleep(SECONDS)
             for vm, (size, frames) in zip(vms, before, strict=True):
-                new_size, new_frames = self.read(vm)
-                self.assertLess((new_size - size) / SECONDS, MAX_BYTES)
-                self.assertLess((new_frames - frames) / SECONDS, MAX_FRAMES)
+                new_size, new_frames = self.read_traffic(vm)
+                self.assertLess(
+                    (new_size - size) / SECONDS, MAX_BYTES_PER_SECOND
+                )
+                self.assertLess(
+                    (new_frames - frames) / SECONDS, MAX_FRAMES_PER_SECOND
+                )
                 self.assertEqual(
                     ENDPOINTS, len(vm.registry.candidates("planner"))
                 )
@@ -65,7 +68,7 @@
 
         run_virtual(main())
 
-    def read(self, vm) -> tuple[float, float]:
+    def read_traffic(self, vm) -> tuple[float, float]:
         size, frames = (
             vm.metrics.counter(f"burdockdrum_peer_{what}_total", "").value(
                 way="out"
--- a/tests/vms/test_publication.py
+++ b/tests/vms/test_publication.py
@@ -1,4 +1,4 @@
-"""A copy of a publication agrees with it, whatever the network loses."""
+"""Tests that copies of a publication agree with it despite message loss."""
 
 import unittest
 
@@ -37,15 +37,14 @@
 
 
 class PublicationTest(unittest.TestCase):
-    """One owner and three copies."""
+    """A publication of one owner and copies of it."""
 
     @settings(derandomize=True, database=None, max_examples=150)
     @given(STEPS)
     def test_copies_agree_once_they_have_the_same_sequence(self, steps):
-        # Ticks reach some copies only. A copy that missed one asks the
-        # owner or another copy, which may be behind itself. Whatever a
-        # copy took over, at the owner's sequence it holds what the owner
-        # held then: a drop that was missed must not leave a record behind.
+        # Ticks reach only some copies; others query the owner or another
+        # copy, which may be outdated too. At each sequence a copy must equal
+        # the owner's state: a missed drop must not leave a record behind.
         owner = Publication(vm_id="vm", incarnation=1)
         copies = [Publication(vm_id="vm", incarnation=1) for _ in range(3)]
         states: dict[int, dict] = {0: read(owner)}
@@ -71,9 +70,9 @@
     def check(self, copy: Publication, states: dict[int, dict]) -> None:
         self.assertEqual(states[copy.sequence], read(copy))
 
-    def test_long_gap_is_answered_in_full(self):
-        # More drops than are remembered: the changes alone would leave
-        # dropped records at the copy.
+    def test_long_gap_is_answered_with_all_records(self):
+        # After more drops than are stored, the changes alone would leave
+        # dropped records in the copy.
         owner = Publication(vm_id="vm", incarnation=1)
         copy = Publication(vm_id="vm", incarnation=1)
         owner.put(1, 0, make_value(b"x"))
@@ -90,7 +89,7 @@
         copy.apply(changes)
         self.assertIsNone(copy.get(1, 0))
 
-    def test_gap_is_noticed_and_nothing_is_taken(self):
+    def test_changes_after_a_gap_are_not_applied(self):
         owner = Publication(vm_id="vm", incarnation=1)
         copy = Publication(vm_id="vm", incarnation=1)
         owner.advance()
--- a/tests/vms/test_remote.py
+++ b/tests/vms/test_remote.py
@@ -1,19 +1,19 @@
-"""What data centres know of each other."""
+"""Tests of the exchange of summaries between data centres."""
 
 import asyncio
 import unittest
 
 from burdockdrum.testing import run_virtual
-from burdockdrum.vms.remote import FORGET_SECONDS
+from burdockdrum.vms.remote import REMOVAL_AGE_SECONDS
 from tests.vms.bed import Bed
 
 KNOWN_WITHIN = 4.0
-SILENT_WITHIN = 6.0
+UNREACHABLE_WITHIN = 6.0
 HEALED_WITHIN = 4.0
 
 
-def hears(vm, data_centre: str) -> bool:
-    """Say whether a VM has a fresh summary of a data centre."""
+def has_summary(vm, data_centre: str) -> bool:
+    """Return whether a VM has a current summary of a data centre."""
     return data_centre in vm.vms.summaries_by_data_centre
 
 
@@ -32,7 +32,7 @@
         await asyncio.sleep(5)
         return bed
 
-    def test_every_vm_knows_the_other_data_centres_room_and_entries(self):
+    def test_every_vm_knows_capacity_and_entries_of_the_other(self):
         async def main():
             bed = await self.start(1)
             bed.start_endpoint("e1", "south1")
@@ -56,7 +56,7 @@
 
         run_virtual(main())
 
-    def test_draining_vm_is_no_longer_named_elsewhere(self):
+    def test_draining_vm_is_no_longer_an_entry_elsewhere(self):
         async def main():
             bed = await self.start(2)
             bed.vms_by_id["south1"].vms.draining = True
@@ -69,8 +69,8 @@
         run_virtual(main())
 
     def test_relay_fails_over(self):
-        # The VM that sends the summaries dies. Without another one in its
-        # place the data centre would look cut off.
+        # The VM that sends the summaries dies. Another one must replace it,
+        # or the data centre would count as unreachable.
         async def main():
             bed = await self.start(3)
             for name in ("south0", "south1"):
@@ -79,15 +79,14 @@
                     await asyncio.sleep(0.1)
                     for number in range(3):
                         vm = bed.vms_by_id[f"north{number}"]
-                        self.assertTrue(hears(vm, "south"))
+                        self.assertTrue(has_summary(vm, "south"))
             await bed.stop()
 
         run_virtual(main())
 
-    def test_cut_heals_after_every_vm_was_replaced(self):
-        # The regions lose each other, and during the cut every VM of the
-        # south is replaced at another address. The addresses that the north
-        # knows are all dead; the south knows the north's.
+    def test_partition_heals_after_every_vm_was_replaced(self):
+        # During the partition every VM of the south moves to a new address,
+        # so only the south knows addresses of the other side.
         async def main():
             bed = await self.start(4)
             north = [f"north{number}" for number in range(3)]
@@ -97,7 +96,7 @@
                 lambda: bed.everywhere(
                     lambda vm: len(vm.vms.summaries_by_data_centre) == 1
                 ),
-                limit=SILENT_WITHIN,
+                limit=UNREACHABLE_WITHIN,
             )
             await asyncio.sleep(30)
             for name in south:
@@ -121,7 +120,7 @@
 
         run_virtual(main())
 
-    def test_cut_heals_within_seconds_where_addresses_stayed(self):
+    def test_partition_heals_in_seconds_if_addresses_stayed(self):
         async def main():
             bed = await self.start(5)
             north = [f"north{number}" for number in range(3)]
@@ -139,9 +138,9 @@
 
         run_virtual(main())
 
-    def test_old_summary_counts_for_less_room(self):
-        # Every data centre sees the same room in the south and sends work
-        # there. The older the figure, the more of it has been taken.
+    def test_capacity_of_an_old_summary_is_reduced(self):
+        # All data centres see the same free capacity and use it, so the older
+        # the summary, the less of it is left.
         async def main():
             bed = await self.start(6)
             endpoint = bed.start_endpoint("e1", "south1")
@@ -160,9 +159,9 @@
 
         run_virtual(main())
 
-    def test_clock_set_back_does_not_silence_a_data_centre(self):
-        # The south's clocks are set back by an hour. Summaries are ordered
-        # by stamps of those clocks: the north must not wait for an hour.
+    def test_clock_set_back_does_not_make_a_data_centre_unreachable(self):
+        # Summaries are ordered by stamps of their sender's clocks. If these
+        # are set back by an hour, new summaries must still be accepted soon.
         async def main():
             bed = await self.start(7)
             for number in range(3):
@@ -175,14 +174,14 @@
                 )
                 vm.clock._wall_offset = -3600.0
             await asyncio.sleep(10)
-            self.assertTrue(hears(bed.vms_by_id["north1"], "south"))
+            self.assertTrue(has_summary(bed.vms_by_id["north1"], "south"))
             await bed.stop()
 
         run_virtual(main())
 
-    def test_data_centre_that_was_given_up_is_forgotten(self):
-        # The operators close the south. A day later nothing is sent there
-        # any more, and the VMs do not remind each other of it.
+    def test_closed_data_centre_is_removed(self):
+        # A day after the south was closed, nothing must be sent to it, and
+        # the VMs must not add it again for each other.
         async def main():
             bed = await self.start(8)
             for number in range(3):
@@ -190,8 +189,8 @@
             await asyncio.sleep(10)
             for vm in bed.vms_by_id.values():
                 remote = vm.vms._remote.known_by_name["south"]
-                remote.heard_at -= FORGET_SECONDS
-                remote.introduced_at -= FORGET_SECONDS
+                remote.updated_at -= REMOVAL_AGE_SECONDS
+                remote.added_at -= REMOVAL_AGE_SECONDS
             await asyncio.sleep(60)
             for vm in bed.vms_by_id.values():
                 self.assertEqual({}, vm.vms._remote.known_by_name)
--- a/tests/vms/test_selection.py
+++ b/tests/vms/test_selection.py
@@ -1,4 +1,4 @@
-"""Which entries a caller is told to use."""
+"""Tests of the selection of entry VMs for a caller."""
 
 import collections
 import random
@@ -59,9 +59,9 @@
         self.assertGreater(entries[0].weight, 0)
         self.assertEqual([0, 0], [entry.weight for entry in entries[1:]])
 
-    def test_callers_who_take_the_first_spread_over_all(self):
-        # Every caller takes the first entry of its list. One VM is busier:
-        # it gets fewer of them, but no VM gets all, and none is starved.
+    def test_first_entries_are_spread_by_weight(self):
+        # Callers that only use the first entry of a list must be spread over
+        # all VMs, with fewer for a busy one.
         views = [make_view(f"vm{n}", "a1") for n in range(4)]
         views.append(make_view("busy", "a1", in_flight=96))
         counts = collections.Counter(
@@ -72,7 +72,7 @@
             self.assertAlmostEqual(0.235, share, delta=0.04)
         self.assertAlmostEqual(0.06, counts["busy"] / 2000, delta=0.03)
 
-    def test_draining_is_left_out_and_suspected_comes_last(self):
+    def test_draining_vm_is_excluded_and_suspected_one_comes_last(self):
         views = [
             make_view("suspected", "a1", suspected=True),
             make_view("draining", "a1", draining=True),
@@ -82,7 +82,7 @@
             ["far", "suspected"], [e.vm_id for e in self.select(views)]
         )
 
-    def test_region_with_room_gets_more_callers(self):
+    def test_region_with_free_capacity_gets_more_callers(self):
         views = [
             make_view("full", "b1", room=0),
             make_view("free", "c1", room=4),
@@ -90,7 +90,7 @@
         weights = {e.vm_id: e.weight for e in self.select(views)}
         self.assertEqual({"full": 25, "free": 100}, weights)
 
-    def test_list_is_short_at_the_size_of_two_years(self):
+    def test_list_is_bounded_for_many_vms(self):
         views = [make_view(f"own{n}", "a1") for n in range(17)]
         views += [make_view(f"far{n}", f"b{n}") for n in range(225)]
         self.assertEqual(29, len(self.select(views)))
