--- a/burdockdrum/peers/traffic.py
+++ b/burdockdrum/peers/traffic.py
@@ -16,7 +16,7 @@
 
     DATA_CENTRE = "data_centre"
     REGION = "region"
-    ELSEWHERE = "elsewhere"
+    OTHER_REGION = "elsewhere"
     UNKNOWN = "unknown"
 
 
--- a/burdockdrum/vms/directory.py
+++ b/burdockdrum/vms/directory.py
@@ -192,7 +192,7 @@
                 if identity.control_address == address:
                     if remote.region == self.identity.region:
                         return Distance.REGION
-                    return Distance.ELSEWHERE
+                    return Distance.OTHER_REGION
         return Distance.UNKNOWN
 
     async def run(self) -> None:
--- a/tests/peers/test_traffic.py
+++ b/tests/peers/test_traffic.py
@@ -27,7 +27,7 @@
         # another region.
         distances = {
             "tcp://near:1": Distance.DATA_CENTRE,
-            "tcp://far:1": Distance.ELSEWHERE,
+            "tcp://far:1": Distance.OTHER_REGION,
         }
         self.traffic.read_distance = distances.get
         load = make_envelope("loads", 100)
