--- a/burdockdrum/quarantine/__init__.py
+++ b/burdockdrum/quarantine/__init__.py
@@ -1,10 +1,10 @@
-"""Keep a request that crashes endpoints from crashing them all."""
+"""Detection and quarantine of requests that crash endpoints."""
 
 from burdockdrum.quarantine.messages import QuarantineEntry
 from burdockdrum.quarantine.quarantine import MAX_LOSSES
 from burdockdrum.quarantine.quarantine import Quarantine
-from burdockdrum.quarantine.quarantine import QUARANTINE_SECONDS
-from burdockdrum.quarantine.quarantine import SUSPECT_SECONDS
+from burdockdrum.quarantine.quarantine import QUARANTINE_DURATION_SECONDS
+from burdockdrum.quarantine.quarantine import SUSPICION_DURATION_SECONDS
 from burdockdrum.quarantine.services import add_services
 from burdockdrum.quarantine.trials import Trial
 
@@ -12,8 +12,8 @@
     "add_services",
     "MAX_LOSSES",
     "Quarantine",
-    "QUARANTINE_SECONDS",
+    "QUARANTINE_DURATION_SECONDS",
     "QuarantineEntry",
-    "SUSPECT_SECONDS",
+    "SUSPICION_DURATION_SECONDS",
     "Trial",
 ]
--- a/burdockdrum/quarantine/messages.py
+++ b/burdockdrum/quarantine/messages.py
@@ -1,52 +1,58 @@
-"""What VMs tell each other about requests under suspicion."""
+"""Messages between VMs about suspected requests."""
 
 import msgspec
 
 from burdockdrum.peers import Message
 
 
-class LossNote(Message, frozen=True, kw_only=True):
-    """An endpoint was lost while it ran a request.
+class EndpointLost(Message, frozen=True, kw_only=True):
+    """Reports that an endpoint was lost while it ran a request.
 
-    ``pass_on`` asks the relay of a data centre to tell the VMs there.
+    ``pass_on`` asks the relay of a data centre to forward it to the VMs there.
     """
 
+    wire_kind = "quarantine.LossNote"
+
     fingerprint: str
     endpoint_id: str
     incarnation: int
     pass_on: bool = False
 
 
-class ClearNote(Message, frozen=True, kw_only=True):
-    """A request is no longer suspect: it completed, or was lifted."""
+class SuspectCleared(Message, frozen=True, kw_only=True):
+    """Clears a suspect that completed, or that an operator lifted."""
+
+    wire_kind = "quarantine.ClearNote"
 
     fingerprint: str
     lifted: bool
     pass_on: bool = False
 
 
-class TrialCall(Message, frozen=True, kw_only=True):
-    """Ask the keeper of a data centre to let a suspect run."""
+class TrialRequest(Message, frozen=True, kw_only=True):
+    """Asks the coordinator of a data centre to let a suspect run."""
+
+    wire_kind = "quarantine.TrialCall"
 
     fingerprint: str
     endpoint_id: str
 
 
 class TrialReply(Message, frozen=True, kw_only=True):
-    """Whether a suspect may run now."""
+    """Says whether a suspect may run now."""
 
     granted: bool
 
 
 class TrialEnd(Message, frozen=True, kw_only=True):
-    """A suspect's run has ended."""
+    """Reports that the run of a suspect has ended."""
 
     fingerprint: str
     endpoint_id: str
 
 
 class QuarantineEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """One fingerprint as an operator sees it."""
+    """A suspected or quarantined fingerprint, as shown to operators."""
 
     fingerprint: str
     quarantined: bool
--- a/burdockdrum/quarantine/quarantine.py
+++ b/burdockdrum/quarantine/quarantine.py
@@ -1,9 +1,9 @@
-"""Find the request that crashes endpoints, and refuse it.
+"""Detects requests that crash endpoints and rejects them.
 
-A request is known by the fingerprint of its content, as its caller sends it
-again under a new key. All requests that ran on a lost endpoint are suspects
-and run again one at an endpoint; the one that loses a second endpoint is
-quarantined at every entry VM that hears of it.
+Requests are identified by a fingerprint of their content, because callers
+retry under new idempotency keys. Every request that ran on a lost endpoint
+becomes a suspect and is retried alone on an endpoint. A request under which
+``MAX_LOSSES`` endpoints were lost is quarantined on all entry VMs.
 """
 
 from collections.abc import Iterator
@@ -18,12 +18,12 @@
 from burdockdrum.peers import Peers
 from burdockdrum.peers import Sender
 from burdockdrum.ports import Clock
-from burdockdrum.quarantine.messages import ClearNote
-from burdockdrum.quarantine.messages import LossNote
+from burdockdrum.quarantine.messages import EndpointLost
 from burdockdrum.quarantine.messages import QuarantineEntry
-from burdockdrum.quarantine.messages import TrialCall
+from burdockdrum.quarantine.messages import SuspectCleared
 from burdockdrum.quarantine.messages import TrialEnd
 from burdockdrum.quarantine.messages import TrialReply
+from burdockdrum.quarantine.messages import TrialRequest
 from burdockdrum.quarantine.trials import Trial
 from burdockdrum.quarantine.trials import TrialTable
 from burdockdrum.timeline import Timeline
@@ -33,22 +33,21 @@
 from burdockdrum.vms import VmDirectory
 from burdockdrum.vms import VmView
 
-# Endpoints that one request may cost before it is refused. With one, every
-# request of a lost batch would be refused; two suffice to tell the one.
+# A limit of one would quarantine every request of a lost batch; the second
+# loss, of a request that ran alone, identifies the request at fault.
 MAX_LOSSES = 2
-SUSPECT_SECONDS = 300.0
-# A false alarm costs its caller so long, unless an operator lifts it.
-QUARANTINE_SECONDS = 900.0
+SUSPICION_DURATION_SECONDS = 300.0
+QUARANTINE_DURATION_SECONDS = 900.0
 MAX_SUSPECTS = 10_000
-KEEPER_TIMEOUT_SECONDS = 0.5
+TRIAL_CALL_TIMEOUT_SECONDS = 0.5
 
 
 @dataclass(kw_only=True)
 class _Suspect:
-    """The endpoints lost under a fingerprint, each start counted once."""
+    """The endpoints lost under a fingerprint, one entry per incarnation."""
 
     losses: set[tuple[str, int]] = field(default_factory=set)
-    until: float = 0.0
+    expires_at: float = 0.0
 
     @property
     def quarantined(self) -> bool:
@@ -56,7 +55,7 @@
 
 
 class Quarantine:
-    """The suspects that this entry VM knows."""
+    """The suspected and quarantined requests known to this entry VM."""
 
     def __init__(
         self,
@@ -66,100 +65,101 @@
         vms: VmDirectory,
         timeline: Timeline,
     ) -> None:
-        """Create a quarantine that suspects nothing."""
+        """Create a quarantine without suspects."""
         self._clock = clock
         self._peers = peers
         self._vms = vms
         self._timeline = timeline
         self._trials = TrialTable(clock=clock)
         self._suspects_by_fingerprint: dict[str, _Suspect] = {}
-        peers.register(LossNote, self._take_loss)
-        peers.register(ClearNote, self._take_clear)
-        peers.register(TrialCall, self._take_trial)
-        peers.register(TrialEnd, self._take_trial_end)
+        peers.register(EndpointLost, self._receive_loss)
+        peers.register(SuspectCleared, self._receive_clear)
+        peers.register(TrialRequest, self._receive_trial_request)
+        peers.register(TrialEnd, self._receive_trial_end)
 
     def check(self, fingerprint: str) -> None:
-        """Refuse a request that is quarantined.
+        """Reject a request that is quarantined.
 
-        :raises Refusal: with how long the quarantine still lasts
+        :raises Refusal: with the remaining time of the quarantine
         """
         suspect = self._find(fingerprint)
         if suspect is None or not suspect.quarantined:
             return
         raise Refusal(
             code=RefusalCode.QUARANTINED,
-            message=f"endpoints were lost under this request {MAX_LOSSES} "
-            f"times; it is quarantined as {fingerprint}",
+            message=f"endpoints were lost while running it {MAX_LOSSES} "
+            f"times; the request is quarantined as {fingerprint}",
             verdict=Verdict.NOT_RUN,
-            retry_after=suspect.until - self._clock.monotonic(),
+            retry_after=suspect.expires_at - self._clock.monotonic(),
         )
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Say whether a request has to run apart from other suspects."""
+        """Return whether a request must run apart from other suspects."""
         return self._find(fingerprint) is not None
 
     def note_loss(self, fingerprint: str, endpoint: Endpoint) -> None:
-        """Note that an endpoint was lost while it ran a request."""
-        note = LossNote(
+        """Record the loss of an endpoint that ran a request."""
+        notice = EndpointLost(
             fingerprint=fingerprint,
             endpoint_id=endpoint.endpoint_id,
             incarnation=endpoint.incarnation,
         )
-        self._add(note)
-        self._tell(note)
+        self._record_loss(notice)
+        self._broadcast(notice)
 
     def note_completed(self, fingerprint: str) -> None:
-        """Clear a suspect whose run has completed."""
+        """Clear a suspect after a run that completed."""
         suspect = self._suspects_by_fingerprint.get(fingerprint)
         if suspect is None or suspect.quarantined:
             return
-        note = ClearNote(fingerprint=fingerprint, lifted=False)
-        self._clear(note)
-        self._tell(note)
+        notice = SuspectCleared(fingerprint=fingerprint, lifted=False)
+        self._clear(notice)
+        self._broadcast(notice)
 
     def lift(self, fingerprint: str) -> bool:
-        """Forget a fingerprint everywhere; say whether it was known."""
-        known = self._find(fingerprint) is not None
-        note = ClearNote(fingerprint=fingerprint, lifted=True)
-        self._clear(note)
-        self._tell(note)
-        return known
+        """Clear a fingerprint on all VMs; return whether it was known here."""
+        was_known = self._find(fingerprint) is not None
+        notice = SuspectCleared(fingerprint=fingerprint, lifted=True)
+        self._clear(notice)
+        self._broadcast(notice)
+        return was_known
 
     def entries(self) -> list[QuarantineEntry]:
-        """Return what is suspected and quarantined, as operators see it."""
+        """Return the suspected and quarantined fingerprints."""
         now = self._clock.monotonic()
         return [
             QuarantineEntry(
                 fingerprint=fingerprint,
                 quarantined=suspect.quarantined,
                 lost_endpoints=sorted(name for name, _ in suspect.losses),
-                seconds_left=suspect.until - now,
+                seconds_left=suspect.expires_at - now,
             )
             for fingerprint, suspect in self._suspects_by_fingerprint.items()
-            if suspect.until > now
+            if suspect.expires_at > now
         ]
 
     async def begin_trial(
         self, fingerprint: str, endpoint_id: str
     ) -> Trial | None:
-        """Let a suspect run at an endpoint, or return None for not now.
+        """Return permission to run a suspect on an endpoint, or None.
 
-        One VM of the data centre grants the trials, so that two entry VMs
-        don't try one suspect, or two suspects at one endpoint, at once.
+        One VM of the data centre, the coordinator, grants all trials there.
+        Otherwise two entry VMs could run the same suspect, or two suspects
+        on the same endpoint, at the same time.
         """
-        keeper = self._find_keeper()
-        if keeper is None:
+        coordinator = self._find_coordinator()
+        if coordinator is None:
             if not self._trials.grant(fingerprint, endpoint_id):
                 return None
             return Trial(
                 on_release=lambda: self._trials.end(fingerprint, endpoint_id)
             )
-        address = keeper.identity.control_address
-        call = TrialCall(fingerprint=fingerprint, endpoint_id=endpoint_id)
+        address = coordinator.identity.control_address
+        call = TrialRequest(fingerprint=fingerprint, endpoint_id=endpoint_id)
         end = TrialEnd(fingerprint=fingerprint, endpoint_id=endpoint_id)
         try:
             reply = await self._peers.call(
-                address, call, TrialReply, timeout=KEEPER_TIMEOUT_SECONDS
+                address, call, TrialReply, timeout=TRIAL_CALL_TIMEOUT_SECONDS
             )
         except CallFailed:
             self._peers.send(address, end)
@@ -168,95 +168,105 @@
             return None
         return Trial(on_release=lambda: self._peers.send(address, end))
 
-    def _find_keeper(self) -> VmView | None:
-        """Return the VM that grants trials, or None if it is this one."""
+    def _find_coordinator(self) -> VmView | None:
+        """Return the VM that grants trials, or None if it is this VM."""
         identity = self._vms.identity
-        keeper = self._vms.relay_of(identity.data_centre)
-        if keeper is None or keeper.identity.vm_id == identity.vm_id:
+        coordinator = self._vms.relay_of(identity.data_centre)
+        if coordinator is None or coordinator.identity.vm_id == identity.vm_id:
             return None
-        return keeper
+        return coordinator
 
     def _find(self, fingerprint: str) -> _Suspect | None:
         suspect = self._suspects_by_fingerprint.get(fingerprint)
         if suspect is None:
             return None
-        if suspect.until <= self._clock.monotonic():
+        if suspect.expires_at <= self._clock.monotonic():
             del self._suspects_by_fingerprint[fingerprint]
             return None
         return suspect
 
-    def _add(self, note: LossNote) -> None:
-        suspect = self._find(note.fingerprint)
+    def _record_loss(self, notice: EndpointLost) -> None:
+        suspect = self._find(notice.fingerprint)
         if suspect is None:
             if len(self._suspects_by_fingerprint) >= MAX_SUSPECTS:
                 oldest = next(iter(self._suspects_by_fingerprint))
                 del self._suspects_by_fingerprint[oldest]
             suspect = _Suspect()
-            self._suspects_by_fingerprint[note.fingerprint] = suspect
+            self._suspects_by_fingerprint[notice.fingerprint] = suspect
         was_quarantined = suspect.quarantined
-        suspect.losses.add((note.endpoint_id, note.incarnation))
-        seconds = SUSPECT_SECONDS
+        suspect.losses.add((notice.endpoint_id, notice.incarnation))
+        seconds = SUSPICION_DURATION_SECONDS
         if suspect.quarantined:
-            seconds = QUARANTINE_SECONDS
-        suspect.until = self._clock.monotonic() + seconds
+            seconds = QUARANTINE_DURATION_SECONDS
+        suspect.expires_at = self._clock.monotonic() + seconds
         if suspect.quarantined and not was_quarantined:
             self._timeline.record(
-                "request.quarantined", fingerprint=note.fingerprint
+                "request.quarantined", fingerprint=notice.fingerprint
             )
 
-    def _clear(self, note: ClearNote) -> None:
-        suspect = self._suspects_by_fingerprint.get(note.fingerprint)
-        # News that a run completed may be older than a second loss.
-        if suspect is None or (suspect.quarantined and not note.lifted):
+    def _clear(self, notice: SuspectCleared) -> None:
+        suspect = self._suspects_by_fingerprint.get(notice.fingerprint)
+        # A report of a completed run may be older than the second loss.
+        if suspect is None or (suspect.quarantined and not notice.lifted):
             return
-        del self._suspects_by_fingerprint[note.fingerprint]
+        del self._suspects_by_fingerprint[notice.fingerprint]
 
-    def _tell(self, note: LossNote | ClearNote) -> None:
-        for view in self._others_here():
-            self._peers.send(view.identity.control_address, note)
+    def _broadcast(self, notice: EndpointLost | SuspectCleared) -> None:
+        for view in self._data_centre_peers():
+            self._peers.send(view.identity.control_address, notice)
         own = self._vms.identity.data_centre
         elsewhere = {v.identity.data_centre for v in self._vms.live_vms()}
         for data_centre in elsewhere - {own}:
             relay = self._vms.relay_of(data_centre)
             if relay is not None:
                 self._peers.send(
-                    relay.identity.control_address, _with_pass_on(note)
+                    relay.identity.control_address, _with_pass_on(notice)
                 )
 
-    def _others_here(self) -> Iterator[VmView]:
+    def _data_centre_peers(self) -> Iterator[VmView]:
         identity = self._vms.identity
         for view in self._vms.vms_in(identity.data_centre):
             if view.identity.vm_id != identity.vm_id:
                 yield view
 
-    def _pass_on(self, note: LossNote | ClearNote) -> None:
-        if note.pass_on:
-            for view in self._others_here():
+    def _forward_in_data_centre(
+        self, notice: EndpointLost | SuspectCleared
+    ) -> None:
+        if notice.pass_on:
+            for view in self._data_centre_peers():
                 self._peers.send(
-                    view.identity.control_address, _without_pass_on(note)
+                    view.identity.control_address, _without_pass_on(notice)
                 )
 
-    async def _take_loss(self, sender: Sender, note: LossNote) -> None:
-        self._add(note)
-        self._pass_on(note)
+    async def _receive_loss(
+        self, sender: Sender, notice: EndpointLost
+    ) -> None:
+        self._record_loss(notice)
+        self._forward_in_data_centre(notice)
 
-    async def _take_clear(self, sender: Sender, note: ClearNote) -> None:
-        self._clear(note)
-        self._pass_on(note)
+    async def _receive_clear(
+        self, sender: Sender, notice: SuspectCleared
+    ) -> None:
+        self._clear(notice)
+        self._forward_in_data_centre(notice)
 
-    async def _take_trial(
-        self, sender: Sender, call: TrialCall
+    async def _receive_trial_request(
+        self, sender: Sender, call: TrialRequest
     ) -> Message | None:
         granted = self._trials.grant(call.fingerprint, call.endpoint_id)
         return TrialReply(granted=granted)
 
-    async def _take_trial_end(self, sender: Sender, end: TrialEnd) -> None:
+    async def _receive_trial_end(self, sender: Sender, end: TrialEnd) -> None:
         self._trials.end(end.fingerprint, end.endpoint_id)
 
 
-def _with_pass_on(note: LossNote | ClearNote) -> LossNote | ClearNote:
-    return msgspec.structs.replace(note, pass_on=True)
+def _with_pass_on(
+    notice: EndpointLost | SuspectCleared,
+) -> EndpointLost | SuspectCleared:
+    return msgspec.structs.replace(notice, pass_on=True)
 
 
-def _without_pass_on(note: LossNote | ClearNote) -> LossNote | ClearNote:
-    return msgspec.structs.replace(note, pass_on=False)
+def _without_pass_on(
+    notice: EndpointLost | SuspectCleared,
+) -> EndpointLost | SuspectCleared:
+    return msgspec.structs.replace(notice, pass_on=False)
--- a/burdockdrum/quarantine/services.py
+++ b/burdockdrum/quarantine/services.py
@@ -1,4 +1,4 @@
-"""Name the services of this package."""
+"""Registers the services of this package in the kernel."""
 
 from burdockdrum.kernel import Kernel
 from burdockdrum.peers import Peers
@@ -9,7 +9,7 @@
 
 
 def add_services(kernel: Kernel) -> None:
-    """Name the quarantine."""
+    """Register the quarantine."""
     kernel.add("quarantine", _build_quarantine)
 
 
--- a/burdockdrum/quarantine/trials.py
+++ b/burdockdrum/quarantine/trials.py
@@ -1,31 +1,30 @@
-"""Which suspects of a data centre run, one at an endpoint."""
+"""Trials: runs of suspected requests, at most one per endpoint."""
 
 from collections.abc import Callable
 
 from burdockdrum.ports import Clock
 
-# A keeper that hears no end of a trial takes it for over: the entry VM that
-# ran it has gone.
-TRIAL_SECONDS = 120.0
+# Ends a trial whose entry VM stopped without reporting its end.
+TRIAL_TIMEOUT_SECONDS = 120.0
 
 
 class Trial:
-    """A suspect's run that was granted; released exactly once."""
+    """A granted run of a suspect; its release takes effect once."""
 
     def __init__(self, *, on_release: Callable[[], None]) -> None:
-        """Create a trial that runs."""
+        """Create a trial that is not released yet."""
         self._on_release = on_release
         self._released = False
 
     def release(self) -> None:
-        """Let the next suspect run; later calls change nothing."""
+        """Let the next suspect run; further calls have no effect."""
         if not self._released:
             self._released = True
             self._on_release()
 
 
 class TrialTable:
-    """The trials that the keeper of a data centre granted."""
+    """The trials granted by the coordinator of a data centre."""
 
     def __init__(self, *, clock: Clock) -> None:
         """Create an empty table."""
@@ -33,10 +32,10 @@
         self._fingerprints_by_endpoint: dict[str, tuple[str, float]] = {}
 
     def grant(self, fingerprint: str, endpoint_id: str) -> bool:
-        """Let a suspect run, unless it or another one runs there.
+        """Grant a trial unless the suspect or the endpoint already has one.
 
-        Two suspects at one endpoint could not be told apart when it is
-        lost, and two runs of one suspect could cost two endpoints.
+        If two suspects shared an endpoint, its loss could not be attributed
+        to one of them. Two runs of a suspect could cost two endpoints.
         """
         now = self._clock.monotonic()
         self._fingerprints_by_endpoint = {
@@ -51,12 +50,12 @@
             return False
         if fingerprint in running:
             return False
-        until = now + TRIAL_SECONDS
+        until = now + TRIAL_TIMEOUT_SECONDS
         self._fingerprints_by_endpoint[endpoint_id] = (fingerprint, until)
         return True
 
     def end(self, fingerprint: str, endpoint_id: str) -> None:
-        """Note that a trial is over."""
-        known = self._fingerprints_by_endpoint.get(endpoint_id)
-        if known is not None and known[0] == fingerprint:
+        """Remove a trial."""
+        entry = self._fingerprints_by_endpoint.get(endpoint_id)
+        if entry is not None and entry[0] == fingerprint:
             del self._fingerprints_by_endpoint[endpoint_id]
--- a/tests/quarantine/__init__.py
+++ b/tests/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the crashing request."""
+"""Tests of burdockdrum.quarantine."""
