--- a/burdockdrum/configuration/control.py
+++ b/burdockdrum/configuration/control.py
@@ -17,7 +17,7 @@
 from burdockdrum.consensus import ReplicatedLog
 from burdockdrum.leases import LeaseCommand
 from burdockdrum.leases import LeaseResult
-from burdockdrum.leases import NotProposed
+from burdockdrum.leases import ProposalFailed
 from burdockdrum.peers import Message
 from burdockdrum.peers import Peers
 from burdockdrum.peers import Sender
@@ -38,14 +38,14 @@
 ) -> bytes:
     """Have a command agreed and return its encoded result.
 
-    :raises NotProposed: saying whether it may be applied all the same
+    :raises ProposalFailed: saying whether it may be applied all the same
     """
     try:
         applied = await log.propose(encode_command(command), timeout=timeout)
     except NotAccepted as error:
-        raise NotProposed(str(error), may_apply=False) from error
+        raise ProposalFailed(str(error), may_apply=False) from error
     except OutcomeUnknown as error:
-        raise NotProposed(str(error), may_apply=True) from error
+        raise ProposalFailed(str(error), may_apply=True) from error
     return applied.result
 
 
@@ -54,7 +54,7 @@
 ) -> LeaseResult:
     """Have a lease's command agreed.
 
-    :raises NotProposed: saying whether it may be applied all the same
+    :raises ProposalFailed: saying whether it may be applied all the same
     """
     return decode_lease_result(await propose_to_log(log, command, timeout))
 
@@ -98,7 +98,7 @@
         """
         try:
             result = await propose_to_log(self._log, change, timeout)
-        except NotProposed as error:
+        except ProposalFailed as error:
             return Proposed(may_apply=error.may_apply, reason=str(error))
         return Proposed(
             result=decode_change_result(result),
--- a/burdockdrum/leases/__init__.py
+++ b/burdockdrum/leases/__init__.py
@@ -1,7 +1,7 @@
-"""Leases with fencing numbers, agreed by the control VMs."""
+"""Leases with fencing numbers, replicated by the control VMs."""
 
 from burdockdrum.leases.keeper import LeaseKeeper
-from burdockdrum.leases.keeper import NotProposed
+from burdockdrum.leases.keeper import ProposalFailed
 from burdockdrum.leases.service import Lease
 from burdockdrum.leases.service import LeaseNotHeld
 from burdockdrum.leases.service import LeaseService
@@ -37,7 +37,7 @@
     "LeaseTableSnapshot",
     "LeaseUnavailable",
     "MAX_CLOCK_DRIFT",
-    "NotProposed",
+    "ProposalFailed",
     "OpenEpoch",
     "ORDER_SECONDS",
     "ReleaseLease",
--- a/burdockdrum/leases/keeper.py
+++ b/burdockdrum/leases/keeper.py
@@ -1,8 +1,8 @@
-"""The log's leader keeps the time of leases.
+"""Grants, renewals and expiry of leases, on the leader of the log.
 
-Renewals stay out of the log: after the leader's lease, as in Gray and
-Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism" (1989). Only
-grants, releases and changes of leader are agreed.
+Only grants, releases and changes of leader go through the log. Renewals are
+kept in the memory of the leader, as in Gray and Cheriton, "Leases: An
+Efficient Fault-Tolerant Mechanism" (1989).
 """
 
 from collections.abc import Awaitable
@@ -12,10 +12,10 @@
 
 from loguru import logger
 
-from burdockdrum.leases.messages import AcquireLease
-from burdockdrum.leases.messages import GiveBackLease
-from burdockdrum.leases.messages import LeaseAnswer
-from burdockdrum.leases.messages import RenewLeases
+from burdockdrum.leases.messages import AcquireLeaseRequest
+from burdockdrum.leases.messages import LeaseResponse
+from burdockdrum.leases.messages import ReleaseLeaseRequest
+from burdockdrum.leases.messages import RenewLeasesRequest
 from burdockdrum.leases.table import Grant
 from burdockdrum.leases.table import GrantLease
 from burdockdrum.leases.table import LeaseCommand
@@ -29,47 +29,48 @@
 from burdockdrum.peers import Sender
 from burdockdrum.ports import Clock
 
-POLL_SECONDS = 0.2
-PROPOSE_SECONDS = 2.0
+POLL_INTERVAL_SECONDS = 0.2
+PROPOSE_TIMEOUT_SECONDS = 2.0
 
 Propose = Callable[[LeaseCommand, float], Awaitable[LeaseResult]]
 
 
 class Leadership(Protocol):
-    """What the keeper asks of the replicated log."""
+    """Leadership of the replicated log."""
 
     @property
     def is_leader(self) -> bool:
-        """Say whether this VM leads, with a valid lease of its own."""
+        """Return whether this VM leads with a valid leader lease."""
         ...
 
     @property
     def leader_id(self) -> str | None:
-        """Return the VM that is known to lead."""
+        """Return the id of the known leader."""
         ...
 
     @property
     def term(self) -> int:
-        """Return the term; at most one VM leads in each."""
+        """Return the term; each has at most one leader."""
         ...
 
 
-class NotProposed(Exception):
-    """A command was not agreed, or its outcome is not known."""
+class ProposalFailed(Exception):
+    """A command was not committed, or its outcome is unknown."""
 
     def __init__(self, message: str, *, may_apply: bool) -> None:
         """Create an error.
 
-        :param may_apply: whether the command may have been applied or may be
+        :param may_apply: whether the command may still be applied, or may
+            have been
         """
         super().__init__(message)
         self.may_apply = may_apply
 
 
 class LeaseKeeper:
-    """Grant, renew and take back leases, on each control VM.
+    """Grants, renews and revokes leases; runs on every control VM.
 
-    It acts only while this VM leads, in an epoch that it opened itself.
+    It is active only while this VM leads, in an epoch that it has opened.
     """
 
     def __init__(
@@ -82,7 +83,7 @@
         leadership: Leadership,
         propose: Propose,
     ) -> None:
-        """Create a keeper that waits to lead."""
+        """Create an inactive lease manager."""
         self._peers = peers
         self._clock = clock
         self._rng = rng
@@ -94,18 +95,17 @@
         self._opened_at = 0.0
         self._renewed_at_by_name: dict[str, float] = {}
         self._superseding: set[int] = set()
-        table.listeners.append(self._note_grant)
-        peers.register(AcquireLease, self._take_acquire)
-        peers.register(RenewLeases, self._take_renew)
-        peers.register(GiveBackLease, self._take_give_back)
+        table.listeners.append(self._record_grant)
+        peers.register(AcquireLeaseRequest, self._receive_acquire)
+        peers.register(RenewLeasesRequest, self._receive_renew)
+        peers.register(ReleaseLeaseRequest, self._receive_release)
 
     @property
-    def is_keeper(self) -> bool:
-        """Say whether this VM may judge now who holds what.
+    def is_active(self) -> bool:
+        """Return whether this VM may decide now who holds a lease.
 
-        A VM that led, lost the lead and leads again is in another term: what
-        it remembers of renewals may be out of date, so it opens an epoch
-        anew.
+        A VM that regains leadership is in another term and must open a new
+        epoch, because other leaders may have renewed leases meanwhile.
         """
         return (
             self._leadership.is_leader
@@ -114,11 +114,11 @@
         )
 
     async def run(self) -> None:
-        """Open an epoch whenever this VM has come to lead."""
+        """Open an epoch whenever this VM becomes the leader."""
         while True:
-            if self._leadership.is_leader and not self.is_keeper:
+            if self._leadership.is_leader and not self.is_active:
                 await self._open_epoch()
-            await self._clock.sleep(POLL_SECONDS)
+            await self._clock.sleep(POLL_INTERVAL_SECONDS)
 
     async def _open_epoch(self) -> None:
         term = self._leadership.term
@@ -126,39 +126,42 @@
         number = self._rng.getrandbits(64)
         opener = f"{identity.vm_id}/{identity.incarnation}/{term}/{number}"
         try:
-            await self._propose(OpenEpoch(opener=opener), PROPOSE_SECONDS)
-        except NotProposed as error:
-            logger.info("the leases' epoch was not opened: {}", error)
+            await self._propose(
+                OpenEpoch(opener=opener), PROPOSE_TIMEOUT_SECONDS
+            )
+        except ProposalFailed as error:
+            logger.info("could not open a lease epoch: {}", error)
             return
         self._term, self._opener = term, opener
-        # Leaders before renewed grants that this one knows nothing of, so
-        # each counts as renewed when the epoch began.
+        # Renewals by earlier leaders are unknown here, so that every grant
+        # counts as renewed when the epoch began.
         self._opened_at = self._clock.monotonic()
         self._renewed_at_by_name.clear()
         self._superseding.clear()
 
-    def _note_grant(self, grant: Grant) -> None:
-        # Also for a grant whose proposal timed out here: its holder may get
-        # it by asking again, and counts from when it asked first.
+    def _record_grant(self, grant: Grant) -> None:
+        # This includes grants whose proposal timed out: the holder can still
+        # receive them with a retry.
         self._renewed_at_by_name[grant.name] = self._clock.monotonic()
 
     def _remaining(self, name: str) -> float:
         renewed_at = self._renewed_at_by_name.get(name, self._opened_at)
         return renewed_at + SUPERSEDE_SECONDS - self._clock.monotonic()
 
-    async def _take_acquire(
-        self, sender: Sender, message: AcquireLease
+    async def _receive_acquire(
+        self, sender: Sender, message: AcquireLeaseRequest
     ) -> Message | None:
-        if not self.is_keeper:
-            return self._decline()
+        if not self.is_active:
+            return self._not_leader_response()
         current = self._table.grants_by_name.get(message.name)
         if current and current.attempt_id == message.attempt_id:
-            # The answer was lost. Its holder counts from its first request.
-            return LeaseAnswer(is_keeper=True, grant=current)
+            # A retry after a lost response. The holder's lease counts from its
+            # first request.
+            return LeaseResponse(from_leader=True, grant=current)
         superseded = current.fencing if current else 0
         remaining = self._remaining(message.name)
         if current is not None and remaining > 0:
-            return LeaseAnswer(is_keeper=True, retry_after=remaining)
+            return LeaseResponse(from_leader=True, retry_after=remaining)
         command = GrantLease(
             epoch=self._table.epoch,
             name=message.name,
@@ -169,34 +172,38 @@
         )
         return await self._grant(command)
 
-    async def _grant(self, command: GrantLease) -> LeaseAnswer:
-        # From here on the grant before is not renewed, or a renewal could
-        # slip in between this judgement and the entry that follows it.
+    async def _grant(self, command: GrantLease) -> LeaseResponse:
+        # Blocks renewals of the previous grant, which could otherwise happen
+        # between the check of its expiry and the commit of this command.
         self._superseding.add(command.superseded)
         try:
-            result = await self._propose(command, PROPOSE_SECONDS)
-        except NotProposed as error:
+            result = await self._propose(command, PROPOSE_TIMEOUT_SECONDS)
+        except ProposalFailed as error:
             if not error.may_apply:
                 self._superseding.discard(command.superseded)
-            return LeaseAnswer(is_keeper=True, retry_after=POLL_SECONDS)
+            return LeaseResponse(
+                from_leader=True, retry_after=POLL_INTERVAL_SECONDS
+            )
         self._superseding.discard(command.superseded)
         if not result.done:
-            return LeaseAnswer(is_keeper=True, retry_after=POLL_SECONDS)
-        return LeaseAnswer(
-            is_keeper=True, grant=result.grant, first=result.first
+            return LeaseResponse(
+                from_leader=True, retry_after=POLL_INTERVAL_SECONDS
+            )
+        return LeaseResponse(
+            from_leader=True, grant=result.grant, first=result.first
         )
 
-    async def _take_renew(
-        self, sender: Sender, message: RenewLeases
+    async def _receive_renew(
+        self, sender: Sender, message: RenewLeasesRequest
     ) -> Message | None:
-        if not self.is_keeper:
-            return self._decline()
+        if not self.is_active:
+            return self._not_leader_response()
         lost = [
             name
             for name, fencing in message.fencing_by_name.items()
             if not self._renew(sender, name, fencing)
         ]
-        return LeaseAnswer(is_keeper=True, lost=lost)
+        return LeaseResponse(from_leader=True, lost=lost)
 
     def _renew(self, sender: Sender, name: str, fencing: int) -> bool:
         grant = self._table.grants_by_name.get(name)
@@ -210,19 +217,21 @@
         self._renewed_at_by_name[name] = self._clock.monotonic()
         return True
 
-    async def _take_give_back(
-        self, sender: Sender, message: GiveBackLease
+    async def _receive_release(
+        self, sender: Sender, message: ReleaseLeaseRequest
     ) -> Message | None:
-        if not self.is_keeper:
-            return self._decline()
+        if not self.is_active:
+            return self._not_leader_response()
         command = ReleaseLease(name=message.name, fencing=message.fencing)
         try:
-            await self._propose(command, PROPOSE_SECONDS)
-        except NotProposed:
-            return LeaseAnswer(is_keeper=True, retry_after=POLL_SECONDS)
-        return LeaseAnswer(is_keeper=True, lost=[message.name])
-
-    def _decline(self) -> LeaseAnswer:
-        return LeaseAnswer(
-            is_keeper=False, leader_id=self._leadership.leader_id
+            await self._propose(command, PROPOSE_TIMEOUT_SECONDS)
+        except ProposalFailed:
+            return LeaseResponse(
+                from_leader=True, retry_after=POLL_INTERVAL_SECONDS
+            )
+        return LeaseResponse(from_leader=True, lost=[message.name])
+
+    def _not_leader_response(self) -> LeaseResponse:
+        return LeaseResponse(
+            from_leader=False, leader_id=self._leadership.leader_id
         )
--- a/burdockdrum/leases/messages.py
+++ b/burdockdrum/leases/messages.py
@@ -1,43 +1,50 @@
-"""What the holders of leases and the control VMs tell each other.
+"""Messages between lease holders and control VMs.
 
-They are arrays on the wire, to spend few bytes; fields are only ever added
-at their ends.
+They are encoded as arrays to save bytes, so that new fields go at the end.
 """
 
 from burdockdrum.leases.table import Grant
 from burdockdrum.peers import Message
 
 
-class AcquireLease(Message, frozen=True, kw_only=True, array_like=True):
-    """Ask for a lease; a resent request bears the same ``attempt_id``."""
+class AcquireLeaseRequest(Message, frozen=True, kw_only=True, array_like=True):
+    """Acquires a lease; retries have the same ``attempt_id``."""
+
+    wire_kind = "leases.AcquireLease"
 
     name: str
     attempt_id: str
 
 
-class RenewLeases(Message, frozen=True, kw_only=True, array_like=True):
-    """Renew all leases of a VM at once."""
+class RenewLeasesRequest(Message, frozen=True, kw_only=True, array_like=True):
+    """Renews all leases of a VM."""
+
+    wire_kind = "leases.RenewLeases"
 
     fencing_by_name: dict[str, int]
 
 
-class GiveBackLease(Message, frozen=True, kw_only=True, array_like=True):
-    """Give a lease back: no order under it is in flight any more."""
+class ReleaseLeaseRequest(Message, frozen=True, kw_only=True, array_like=True):
+    """Releases a lease under which no order is in flight any more."""
+
+    wire_kind = "leases.GiveBackLease"
 
     name: str
     fencing: int
 
 
-class LeaseAnswer(Message, frozen=True, kw_only=True, array_like=True):
-    """What the log's leader says to any of these.
+class LeaseResponse(Message, frozen=True, kw_only=True, array_like=True):
+    """The response to each of these requests.
 
-    ``is_keeper`` is false where another VM leads: ``leader_id`` is a hint.
-    ``lost`` are the names whose grants are the caller's no more; from the
-    keeper, the others that it asked to renew are renewed. ``retry_after`` is
-    in seconds.
+    ``from_leader`` is false if the sender doesn't lead; ``leader_id`` is then
+    a hint. ``lost`` names the leases that the caller no longer holds; the
+    others that it asked to renew are renewed. ``first`` says that no earlier
+    grant can be in use. ``retry_after`` is in seconds.
     """
 
-    is_keeper: bool
+    wire_kind = "leases.LeaseAnswer"
+
+    from_leader: bool
     leader_id: str | None = None
     grant: Grant | None = None
     first: bool = False
--- a/burdockdrum/leases/service.py
+++ b/burdockdrum/leases/service.py
@@ -1,4 +1,4 @@
-"""Leases as their holders use them."""
+"""The client side of leases: acquires, renews and releases them."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -9,10 +9,10 @@
 from dataclasses import replace
 import random
 
-from burdockdrum.leases.messages import AcquireLease
-from burdockdrum.leases.messages import GiveBackLease
-from burdockdrum.leases.messages import LeaseAnswer
-from burdockdrum.leases.messages import RenewLeases
+from burdockdrum.leases.messages import AcquireLeaseRequest
+from burdockdrum.leases.messages import LeaseResponse
+from burdockdrum.leases.messages import ReleaseLeaseRequest
+from burdockdrum.leases.messages import RenewLeasesRequest
 from burdockdrum.leases.timing import LEASE_SECONDS
 from burdockdrum.leases.timing import ORDER_SECONDS
 from burdockdrum.leases.timing import RENEW_SECONDS
@@ -23,45 +23,46 @@
 from burdockdrum.ports import Clock
 from burdockdrum.timeline import Timeline
 
-CALL_SECONDS = 1.0
-RETRY_SECONDS = 0.3
-ATTEMPT_SECONDS = LEASE_SECONDS / 2
+CALL_TIMEOUT_SECONDS = 1.0
+RETRY_DELAY_SECONDS = 0.3
+MAX_ATTEMPT_AGE_SECONDS = LEASE_SECONDS / 2
 
 
 class LeaseUnavailable(Exception):
-    """The lease is another's, or no control VM could say."""
+    """Another VM holds the lease, or no leader could be reached."""
 
     def __init__(self, message: str, *, retry_after: float) -> None:
         """Create an error.
 
-        :param retry_after: seconds after which it may be free
+        :param retry_after: seconds after which the lease may be available
         """
         super().__init__(message)
         self.retry_after = retry_after
 
 
 class LeaseNotHeld(Exception):
-    """The order was not given: this VM does not provably hold the lease."""
+    """This VM does not provably hold the lease; nothing was sent."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Lease:
-    """A lease as its holder may believe in it.
+    """A lease as seen by its holder.
 
-    Both times are of the holder's monotonic clock. Endpoints that do not
-    check ``fencing`` must get no order before ``wait_out_until``.
+    Both times are of the holder's monotonic clock. Endpoints that don't
+    check ``fencing`` must not get an order before ``former_orders_end_at``,
+    when the orders of former holders have ended.
     """
 
     name: str
     fencing: int
     expires_at: float
-    wait_out_until: float
+    former_orders_end_at: float
 
 
 class LeaseService:
-    """Acquire, renew and give back leases.
+    """Acquires, renews and releases leases.
 
-    All renewals of a VM go in one message every ``RENEW_SECONDS``.
+    One message per renewal interval renews all leases of the VM.
     """
 
     def __init__(
@@ -73,7 +74,7 @@
         timeline: Timeline,
         read_control_addresses: Callable[[], Mapping[str, str]],
     ) -> None:
-        """Create a service that holds nothing.
+        """Create a service without leases.
 
         :param read_control_addresses: returns the control VMs' addresses by
             id
@@ -83,13 +84,13 @@
         self._rng = rng
         self._timeline = timeline
         self._read_control_addresses = read_control_addresses
-        self._keeper_id: str | None = None
+        self._leader_id: str | None = None
         self._leases_by_name: dict[str, Lease] = {}
 
     def held(self, name: str) -> Lease | None:
-        """Return a lease while this VM provably holds it.
+        """Return the lease if this VM provably holds it.
 
-        Ask right before each use: a moment later it may have run out.
+        Call it right before each use, because the lease may expire.
         """
         lease = self._leases_by_name.get(name)
         if lease is None or self._clock.monotonic() >= lease.expires_at:
@@ -97,10 +98,10 @@
         return lease
 
     async def acquire(self, name: str, *, timeout: float = 5.0) -> Lease:
-        """Acquire a lease, or return the one that is held.
+        """Acquire a lease, or return it if it is held already.
 
-        :param timeout: seconds to try for
-        :raises LeaseUnavailable: if it was not granted by then
+        :param timeout: time limit in seconds
+        :raises LeaseUnavailable: if it was not granted in time
         """
         held = self.held(name)
         if held is not None:
@@ -108,52 +109,57 @@
         self._leases_by_name.pop(name, None)
         deadline = self._clock.monotonic() + timeout
         started = self._clock.monotonic()
-        message = self._make_attempt(name)
+        message = self._make_request(name)
         while True:
-            if self._clock.monotonic() - started > ATTEMPT_SECONDS:
-                # A grant to this attempt would be nearly over already.
+            if self._clock.monotonic() - started > MAX_ATTEMPT_AGE_SECONDS:
+                # A grant counts from the first request of the attempt and
+                # would expire soon.
                 started = self._clock.monotonic()
-                message = self._make_attempt(name)
-            answer = await self._ask(message)
+                message = self._make_request(name)
+            response = await self._call_leader(message)
             now = self._clock.monotonic()
-            if answer is not None and answer.grant is not None:
-                return self._take_grant(name, answer, started)
-            retry_after = answer.retry_after if answer else RETRY_SECONDS
-            if now + max(retry_after, RETRY_SECONDS) >= deadline:
+            if response is not None and response.grant is not None:
+                return self._accept_grant(name, response, started)
+            retry_after = (
+                response.retry_after if response else RETRY_DELAY_SECONDS
+            )
+            if now + max(retry_after, RETRY_DELAY_SECONDS) >= deadline:
                 raise LeaseUnavailable(
                     f"lease {name!r} was not granted", retry_after=retry_after
                 )
-            await self._clock.sleep(max(retry_after, RETRY_SECONDS))
+            await self._clock.sleep(max(retry_after, RETRY_DELAY_SECONDS))
 
     async def release(self, name: str) -> None:
-        """Give a lease back, for another to have at once.
+        """Release a lease, so that another VM can acquire it at once.
 
         Call it only when no order under the lease is in flight. If no
-        control VM hears of it, the lease runs out by itself.
+        control VM can be reached, the lease expires.
         """
         lease = self._leases_by_name.pop(name, None)
         if lease is not None:
             self._timeline.record(
                 "lease.released", lease=name, fencing=lease.fencing
             )
-            await self._ask(GiveBackLease(name=name, fencing=lease.fencing))
+            await self._call_leader(
+                ReleaseLeaseRequest(name=name, fencing=lease.fencing)
+            )
 
     @contextlib.asynccontextmanager
     async def order(
         self, name: str, *, checks_fencing: bool
     ) -> AsyncIterator[Lease]:
-        """Give an order under a lease, within ``ORDER_SECONDS``.
+        """Run an order under a lease, within the timeout of orders.
 
-        An endpoint that does not check fencing numbers is left alone until
-        every order of the holder before has ended. The time limit bounds
-        this order for the sake of the holder after.
+        Without fencing numbers, it first waits until all orders of former
+        holders have ended. The next holder relies on the time limit in the
+        same way.
 
-        :raises LeaseNotHeld: before anything was sent
-        :raises TimeoutError: if the order took too long
+        :raises LeaseNotHeld: if the lease is not held; nothing was sent
+        :raises TimeoutError: if the order exceeded its time limit
         """
         lease = self.held(name)
         if lease is not None and not checks_fencing:
-            wait = lease.wait_out_until - self._clock.monotonic()
+            wait = lease.former_orders_end_at - self._clock.monotonic()
             if wait > 0:
                 await self._clock.sleep(wait)
             lease = self.held(name)
@@ -163,29 +169,32 @@
             yield lease
 
     async def run(self) -> None:
-        """Renew what is held until cancelled."""
+        """Renew the held leases until cancelled."""
         while True:
             await self._clock.sleep(RENEW_SECONDS)
             self._drop_expired()
             if self._leases_by_name:
                 await self._renew()
 
-    def _take_grant(
-        self, name: str, answer: LeaseAnswer, started: float
+    def _accept_grant(
+        self, name: str, response: LeaseResponse, started: float
     ) -> Lease:
-        assert answer.grant is not None
+        assert response.grant is not None
         now = self._clock.monotonic()
         lease = Lease(
             name=name,
-            fencing=answer.grant.fencing,
-            # From before the first request went out: the leader counts from
-            # later, whichever of the requests it heard.
+            fencing=response.grant.fencing,
+            # Counts from before the first request, so that it expires here
+            # before it does on the leader.
             expires_at=started + LEASE_SECONDS,
-            wait_out_until=now if answer.first else now + WAIT_OUT_SECONDS,
+            former_orders_end_at=(
+                now if response.first else now + WAIT_OUT_SECONDS
+            ),
         )
         if now >= lease.expires_at:
             raise LeaseUnavailable(
-                f"lease {name!r} came too late", retry_after=0.0
+                f"lease {name!r} expired before its grant arrived",
+                retry_after=0.0,
             )
         self._leases_by_name[name] = lease
         self._timeline.record(
@@ -193,23 +202,25 @@
         )
         return lease
 
-    def _make_attempt(self, name: str) -> AcquireLease:
+    def _make_request(self, name: str) -> AcquireLeaseRequest:
         attempt_id = f"{self._rng.getrandbits(96):024x}"
-        return AcquireLease(name=name, attempt_id=attempt_id)
+        return AcquireLeaseRequest(name=name, attempt_id=attempt_id)
 
     async def _renew(self) -> None:
         fencing_by_name = {
             name: lease.fencing for name, lease in self._leases_by_name.items()
         }
         started = self._clock.monotonic()
-        answer = await self._ask(RenewLeases(fencing_by_name=fencing_by_name))
-        if answer is None:
+        response = await self._call_leader(
+            RenewLeasesRequest(fencing_by_name=fencing_by_name)
+        )
+        if response is None:
             return
         for name, fencing in fencing_by_name.items():
             lease = self._leases_by_name.get(name)
             if lease is None or lease.fencing != fencing:
                 continue
-            if name in answer.lost:
+            if name in response.lost:
                 self._drop(name)
             else:
                 self._leases_by_name[name] = replace(
@@ -225,28 +236,30 @@
         lease = self._leases_by_name.pop(name)
         self._timeline.record("lease.lost", lease=name, fencing=lease.fencing)
 
-    async def _ask(self, message: Message) -> LeaseAnswer | None:
-        """Ask the control VMs in turn, the last keeper first."""
+    async def _call_leader(self, message: Message) -> LeaseResponse | None:
+        """Call the control VMs in turn, the last known leader first."""
         addresses_by_id = dict(self._read_control_addresses())
-        asked: set[str] = set()
-        hint = self._keeper_id
-        while len(asked) < len(addresses_by_id):
-            left = [vm_id for vm_id in addresses_by_id if vm_id not in asked]
-            vm_id = hint if hint in left else left[0]
-            asked.add(vm_id)
-            answer = await self._ask_one(addresses_by_id[vm_id], message)
-            if answer is not None and answer.is_keeper:
-                self._keeper_id = vm_id
-                return answer
-            hint = answer.leader_id if answer is not None else None
+        called: set[str] = set()
+        hint = self._leader_id
+        while len(called) < len(addresses_by_id):
+            remaining = [
+                vm_id for vm_id in addresses_by_id if vm_id not in called
+            ]
+            vm_id = hint if hint in remaining else remaining[0]
+            called.add(vm_id)
+            response = await self._call(addresses_by_id[vm_id], message)
+            if response is not None and response.from_leader:
+                self._leader_id = vm_id
+                return response
+            hint = response.leader_id if response is not None else None
         return None
 
-    async def _ask_one(
+    async def _call(
         self, address: str, message: Message
-    ) -> LeaseAnswer | None:
+    ) -> LeaseResponse | None:
         try:
             return await self._peers.call(
-                address, message, LeaseAnswer, timeout=CALL_SECONDS
+                address, message, LeaseResponse, timeout=CALL_TIMEOUT_SECONDS
             )
         except CallFailed:
             return None
--- a/burdockdrum/leases/services.py
+++ b/burdockdrum/leases/services.py
@@ -1,4 +1,4 @@
-"""Name the services of this package."""
+"""Registers the services of this package in the kernel."""
 
 from collections.abc import Mapping
 import random
@@ -11,8 +11,8 @@
 from burdockdrum.timeline import Timeline
 
 
-class ControlVms(Protocol):
-    """What is asked of the configuration."""
+class ControlVmAddresses(Protocol):
+    """Source of the addresses of the control VMs."""
 
     @property
     def control_addresses(self) -> Mapping[str, str]:
@@ -21,16 +21,16 @@
 
 
 def add_services(kernel: Kernel) -> None:
-    """Name the leases of this VM.
+    """Register the lease service of this VM.
 
-    Their keeper, on a control VM, is named by ``burdockdrum.configuration``,
-    which has the agreed state.
+    The lease manager of a control VM is registered by
+    ``burdockdrum.configuration``, which has the replicated state.
     """
     kernel.add("leases", _build_leases)
 
 
 def _build_leases(kernel: Kernel) -> LeaseService:
-    source = kernel.find("configuration", ControlVms)
+    source = kernel.find("configuration", ControlVmAddresses)
     return LeaseService(
         peers=kernel.find("peers", Peers),
         clock=kernel.find("clock", Clock),
--- a/burdockdrum/leases/table.py
+++ b/burdockdrum/leases/table.py
@@ -1,8 +1,8 @@
-"""The part of the agreed state that says who holds which lease.
+"""The leases in the replicated state.
 
-It knows no time: when a lease has run out is for the ``LeaseKeeper`` of the
-log's leader to say. What must outlast every VM is here: which grant is the
-newest of a name, and the last fencing number.
+The table has the newest grant of each lease and the last fencing number. It
+has no notion of time: the lease manager of the leader decides when a lease
+has expired.
 """
 
 from collections.abc import Callable
@@ -11,19 +11,19 @@
 
 
 class OpenEpoch(msgspec.Struct, frozen=True, kw_only=True, tag="open_epoch"):
-    """A new leader of the log takes over the keeping of leases.
+    """Starts a new epoch, in which a new leader manages the leases.
 
-    ``opener`` is unlike that of any other start of any leadership.
+    ``opener`` is unique to each period of leadership.
     """
 
     opener: str
 
 
 class GrantLease(msgspec.Struct, frozen=True, kw_only=True, tag="grant_lease"):
-    """Grant a lease whose grant before is ``superseded``.
+    """Grants a lease in place of the grant numbered ``superseded``.
 
-    ``attempt_id`` names the request for it, so that a resent request gets
-    the first's grant.
+    ``attempt_id`` identifies the request, so that a retry gets the same
+    grant.
     """
 
     epoch: int
@@ -37,7 +37,7 @@
 class ReleaseLease(
     msgspec.Struct, frozen=True, kw_only=True, tag="release_lease"
 ):
-    """Give a lease back; it may be granted to another at once."""
+    """Releases a lease, which may then be granted at once."""
 
     name: str
     fencing: int
@@ -47,9 +47,9 @@
 
 
 class Grant(msgspec.Struct, frozen=True, kw_only=True):
-    """The newest grant of a name.
+    """The newest grant of a lease.
 
-    ``fencing`` is larger than that of every grant before it, of any name.
+    ``fencing`` is larger than in all earlier grants of any lease.
     """
 
     name: str
@@ -60,10 +60,10 @@
 
 
 class LeaseResult(msgspec.Struct, frozen=True, kw_only=True):
-    """What became of a command; ``grant`` is the newest of its name.
+    """The result of a command; ``grant`` is the newest grant of the lease.
 
-    ``first`` says that nobody can hold an earlier grant of the name still:
-    there was none, or it was given back.
+    ``first`` says that no earlier grant can be in use: there was none, or it
+    was released.
     """
 
     done: bool
@@ -73,7 +73,7 @@
 
 
 class LeaseTableSnapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """All that the table holds."""
+    """The content of the table."""
 
     epoch: int
     opener: str
@@ -82,7 +82,7 @@
 
 
 class LeaseTable:
-    """The grants by name, changed by one command at a time."""
+    """The grants by lease name, changed by one command at a time."""
 
     def __init__(self) -> None:
         """Create an empty table."""
@@ -93,7 +93,7 @@
         self._last_fencing = 0
 
     def apply(self, command: LeaseCommand) -> LeaseResult:
-        """Carry out a command."""
+        """Apply a command."""
         match command:
             case OpenEpoch(opener=opener):
                 return self._open(opener)
@@ -103,7 +103,7 @@
                 return self._release(name, fencing)
 
     def snapshot(self) -> LeaseTableSnapshot:
-        """Return all that the table holds."""
+        """Return the content of the table."""
         return LeaseTableSnapshot(
             epoch=self.epoch,
             opener=self.opener,
@@ -112,14 +112,14 @@
         )
 
     def restore(self, snapshot: LeaseTableSnapshot) -> None:
-        """Replace all that the table holds."""
+        """Replace the content of the table."""
         self.epoch = snapshot.epoch
         self.opener = snapshot.opener
         self._last_fencing = snapshot.last_fencing
         self.grants_by_name = {g.name: g for g in snapshot.grants}
 
     def _open(self, opener: str) -> LeaseResult:
-        # A command that arrives twice must not close the epoch it opened.
+        # A duplicate of the command must not start another epoch.
         if opener != self.opener:
             self.epoch += 1
             self.opener = opener
@@ -130,9 +130,9 @@
         if current and current.attempt_id == command.attempt_id:
             return LeaseResult(done=True, epoch=self.epoch, grant=current)
         newest = current.fencing if current else 0
-        # Whoever proposed this judged that the grant before had run out.
-        # In a later epoch that judgement is void: another leader may have
-        # renewed that grant since, and two would hold at once.
+        # The proposer has checked that the previous grant had expired. In a
+        # later epoch another leader may have renewed it, and the lease would
+        # have two holders.
         if command.epoch != self.epoch or command.superseded != newest:
             return LeaseResult(done=False, epoch=self.epoch, grant=current)
         self._last_fencing += 1
--- a/burdockdrum/leases/timing.py
+++ b/burdockdrum/leases/timing.py
@@ -1,30 +1,30 @@
-"""The times on which the safety of leases rests.
+"""Durations on which the safety of leases depends.
 
-docs/design/leases.md sketches the proof. All are seconds of the clock of
-the VM that counts them.
+docs/design/leases.md has a sketch of the proof. All are in seconds of the
+local clock of the VM that measures them.
 """
 
-# How long a holder may believe in its lease, counted from before it sent
-# the request that was answered.
+# Validity of a lease at its holder, from before it sent the request that was
+# granted.
 LEASE_SECONDS = 10.0
 
-# How often a holder renews: two renewals in a row may be lost.
+# Renewal interval of a holder; two lost renewals in a row do no harm.
 RENEW_SECONDS = 3.0
 
-# By how much a clock may run fast or slow, as a part of one.
+# Maximum rate error of a clock, as a fraction.
 MAX_CLOCK_DRIFT = 0.01
 
-# The longest that an order may take from the check of the lease until no
-# endpoint can act on it any more. The holder's timeout on each order.
+# Timeout of an order, from the check of the lease until no endpoint can act on
+# the order any more.
 ORDER_SECONDS = 5.0
 
-_WORST_RATIO = (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT)
+_MAX_CLOCK_RATE_RATIO = (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT)
 
-# How long the leader waits after the last renewal, or after it took over,
-# until it grants to another: a holder whose clock is slow has stopped even
-# if the leader's is fast.
-SUPERSEDE_SECONDS = LEASE_SECONDS * _WORST_RATIO
+# Time without a renewal after which the leader may grant a lease to another
+# VM. A holder with the slowest clock has stopped using it by then, even if the
+# leader has the fastest one.
+SUPERSEDE_SECONDS = LEASE_SECONDS * _MAX_CLOCK_RATE_RATIO
 
-# How long a new holder waits before it gives an order to an endpoint that
-# does not check fencing numbers: the last order before has ended by then.
-WAIT_OUT_SECONDS = ORDER_SECONDS * _WORST_RATIO
+# Delay before a new holder sends orders to endpoints that don't check fencing
+# numbers; the orders of the former holder have ended by then.
+WAIT_OUT_SECONDS = ORDER_SECONDS * _MAX_CLOCK_RATE_RATIO
--- a/tests/leases/__init__.py
+++ b/tests/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the leases."""
+"""Tests of burdockdrum.leases."""
--- a/tests/leases/test_histories.py
+++ b/tests/leases/test_histories.py
@@ -1,4 +1,4 @@
-"""Contended leases under faults: never two holders, never two orders."""
+"""Randomized tests of lease safety under contention and faults."""
 
 import asyncio
 import os
@@ -18,24 +18,24 @@
 NAME = "repairs/e1"
 # More seeds: BURDOCKDRUM_SEEDS=200 python3 run.py test tests.leases
 SEEDS = range(int(os.environ.get("BURDOCKDRUM_SEEDS", "8")))
-# Histories in which the grant that is too early meets a holder.
-SEEDS_OF_OVERLAP = (6, 15, 29)
+# Seeds with which an early grant leads to two holders at once.
+SEEDS_WITH_OVERLAP = (6, 15, 29)
 FAULT_SECONDS = 60.0
 
 
 class History:
-    """The holders as seen from outside, and what was wrong with them."""
+    """An observed history of holders and orders, with its violations."""
 
     def __init__(self, deployment: Deployment, rng: random.Random) -> None:
         self.deployment = deployment
         self.rng = rng
-        self.faults: list[str] = []
+        self.violations: list[str] = []
         self.fencing_numbers: list[tuple[int, str]] = []
         self.orders = 0
-        self._ordering: set[tuple[str, int]] = set()
+        self._orders_in_flight: set[tuple[str, int]] = set()
 
-    async def watch_holders(self) -> None:
-        """Look at every VM, twenty times a second."""
+    async def check_holders(self) -> None:
+        """Check all VMs for two holders every 50 ms."""
         while True:
             holders = [
                 vm_id
@@ -43,11 +43,11 @@
                 if self.deployment.leases(vm_id).held(NAME)
             ]
             if len(holders) > 1:
-                self.faults.append(f"held by {holders}")
+                self.violations.append(f"held by {holders}")
             await asyncio.sleep(0.05)
 
     async def contend(self, vm_id: str) -> None:
-        """Acquire the lease again and again, and give orders under it."""
+        """Repeatedly acquire the lease and run orders under it."""
         while True:
             await asyncio.sleep(self.rng.uniform(0.1, 2))
             if vm_id not in self.deployment.cluster.vms_by_id:
@@ -65,18 +65,20 @@
     async def _order(self, vm_id: str, leases) -> None:
         async with leases.order(NAME, checks_fencing=False) as lease:
             order = (vm_id, lease.fencing)
-            self._ordering.add(order)
-            if len(self._ordering) > 1:
-                self.faults.append(f"orders under {self._ordering}")
+            self._orders_in_flight.add(order)
+            if len(self._orders_in_flight) > 1:
+                self.violations.append(
+                    f"orders under {self._orders_in_flight}"
+                )
             try:
                 seconds = self.rng.uniform(0, ORDER_SECONDS * 1.2)
                 await asyncio.sleep(seconds)
                 self.orders += 1
             finally:
-                self._ordering.discard(order)
+                self._orders_in_flight.discard(order)
 
-    async def disturb(self) -> None:
-        """Cut and crash VMs one after another."""
+    async def inject_faults(self) -> None:
+        """Disconnect and crash VMs one after another."""
         loop = asyncio.get_running_loop()
         end = loop.time() + FAULT_SECONDS
         while loop.time() < end:
@@ -93,7 +95,7 @@
 
 
 async def make_history(seed: int) -> History:
-    """Run contenders under faults that a seed draws."""
+    """Run contending VMs under faults generated from a seed."""
     rng = random.Random(seed)
     deployment = Deployment(seed=seed, vm_ids=VM_IDS, control_ids=CONTROL_IDS)
     for vm_id in VM_IDS:
@@ -105,8 +107,8 @@
     await deployment.start()
     history = History(deployment, rng)
     tasks = [asyncio.create_task(history.contend(v)) for v in VM_IDS]
-    tasks.append(asyncio.create_task(history.watch_holders()))
-    await history.disturb()
+    tasks.append(asyncio.create_task(history.check_holders()))
+    await history.inject_faults()
     await asyncio.sleep(25)
     for task in tasks:
         task.cancel()
@@ -119,17 +121,16 @@
 
 
 class LeaseHistoryTest(unittest.TestCase):
-    def test_never_two_holders_nor_two_orders(self):
-        # Four VMs, whose clocks run up to a hundredth fast or slow, contend
-        # for the right to give orders to engines that ignore fencing
-        # numbers. VMs are cut off and lose power. At no moment do two VMs
-        # hold the lease, nor are orders of two holders in flight, and each
-        # fencing number belongs to one VM. All the same the work goes on.
+    def test_at_most_one_holder_and_one_order(self):
+        # Four VMs with clock errors up to 1% contend while VMs are partitioned
+        # and lose power. There are never two holders, nor orders of two
+        # holders in flight, each fencing number has one holder, and orders
+        # still complete.
         orders = 0
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 history = run_virtual(make_history(seed))
-                self.assertEqual([], history.faults)
+                self.assertEqual([], history.violations)
                 vm_ids_by_number = {}
                 for number, vm_id in history.fencing_numbers:
                     vm_ids_by_number.setdefault(number, set()).add(vm_id)
@@ -138,13 +139,13 @@
                 orders += history.orders
         self.assertGreater(orders, len(SEEDS))
 
-    def test_supersession_before_the_end_is_caught(self):
-        # The check itself: a leader that grants to another after half the
-        # lease must be seen to make two holders.
-        for seed in SEEDS_OF_OVERLAP:
+    def test_early_grant_is_detected(self):
+        # Verifies the checks above: a leader that grants the lease after half
+        # of its duration must be detected.
+        for seed in SEEDS_WITH_OVERLAP:
             with (
                 self.subTest(seed=seed),
                 mock.patch.object(keeper, "SUPERSEDE_SECONDS", 5.0),
             ):
                 history = run_virtual(make_history(seed))
-                self.assertNotEqual([], history.faults)
+                self.assertNotEqual([], history.violations)
--- a/tests/leases/test_service.py
+++ b/tests/leases/test_service.py
@@ -1,4 +1,4 @@
-"""One holder after the other, step by step."""
+"""Lease handover between holders."""
 
 import asyncio
 import unittest
@@ -17,7 +17,7 @@
 
 
 class LeaseServiceTest(unittest.TestCase):
-    """Two VMs without a disk, and three control VMs."""
+    """Two VMs that use leases, and three control VMs."""
 
     def run_deployment(self, scenario):
         async def main():
@@ -35,9 +35,9 @@
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def test_lease_is_kept_over_a_leader_change(self):
-        # The leader crashes. The holder goes on holding, under the same
-        # number, and another still can't have the lease.
+    def test_lease_survives_a_leader_change(self):
+        # A leader crash must not end a lease: the holder keeps it under the
+        # same fencing number, and another VM can't acquire it.
         async def scenario(deployment, first, second):
             lease = await first.acquire(NAME)
             await deployment.crash(deployment.leader(), power=True)
@@ -49,7 +49,7 @@
 
         self.run_deployment(scenario)
 
-    def test_released_lease_is_another_at_once(self):
+    def test_released_lease_can_be_acquired_at_once(self):
         async def scenario(deployment, first, second):
             lease = await first.acquire(NAME)
             await first.release(NAME)
@@ -62,10 +62,9 @@
 
         self.run_deployment(scenario)
 
-    def test_restarted_holder_is_a_stranger(self):
-        # The holder restarts, and has forgotten its lease. It gets it again
-        # only when nobody can believe in the first any more, and under
-        # another number.
+    def test_restarted_holder_waits_for_expiry(self):
+        # A restarted VM can acquire its former lease only after that expired,
+        # and under a new fencing number.
         async def scenario(deployment, first, second):
             lease = await first.acquire(NAME)
             await deployment.restart("e1.2")
@@ -76,12 +75,10 @@
 
         self.run_deployment(scenario)
 
-    def test_order_at_the_last_moment_is_waited_out(self):
-        # The holder is cut off from the control VMs, and gives an order a
-        # moment before its lease ends, which takes as long as an order may.
-        # The next holder has its lease by then. An engine that checks
-        # numbers gets its order at once; one that does not gets none before
-        # the old order has ended.
+    def test_next_holder_waits_for_a_late_order(self):
+        # A partitioned holder starts an order just before its lease expires.
+        # Engines that don't check fencing numbers must not get an order of
+        # the next holder before that order has ended; others get it at once.
         async def scenario(deployment, first, second):
             await first.acquire(NAME)
             deployment.cut(["e1.2"])
@@ -97,11 +94,11 @@
                 self.assertGreaterEqual(self.now(), ends_at)
             with self.assertRaises(LeaseNotHeld):
                 async with first.order(NAME, checks_fencing=True):
-                    self.fail("an order without a lease")
+                    self.fail("an order ran without a lease")
 
         self.run_deployment(scenario)
 
-    def test_order_is_ended_after_its_time(self):
+    def test_order_times_out(self):
         async def scenario(deployment, first, second):
             await first.acquire(NAME)
             started = self.now()
@@ -112,17 +109,17 @@
 
         self.run_deployment(scenario)
 
-    def test_grant_whose_answer_was_lost_counts_from_its_grant(self):
-        # The leader's answer to the holder is lost each time for some
-        # seconds, so that the holder has its lease late, from an earlier
-        # grant. It must believe in it no longer than the leader does.
+    def test_expiry_counts_from_the_grant_not_the_retry(self):
+        # Responses to the holder are lost for some seconds, so that it learns
+        # of its grant late. Its lease must still expire before the leader
+        # grants it to another VM.
         async def scenario(deployment, first, second):
             control = [*CONTROL_IDS]
             deployment.cluster.network.cut(control, ["e1.2"], both=False)
-            asking = asyncio.create_task(first.acquire(NAME, timeout=30))
+            acquiring = asyncio.create_task(first.acquire(NAME, timeout=30))
             await asyncio.sleep(3)
             deployment.cluster.network.heal(control, ["e1.2"], both=False)
-            lease = await asking
+            lease = await acquiring
             deployment.cut(["e1.2"])
             granted = await second.acquire(NAME, timeout=30)
             self.assertGreater(granted.fencing, lease.fencing)
--- a/tests/leases/test_table.py
+++ b/tests/leases/test_table.py
@@ -1,4 +1,4 @@
-"""The agreed part of leases: fencing numbers and judgements."""
+"""The replicated lease table: fencing numbers and conditional grants."""
 
 import unittest
 
@@ -31,10 +31,9 @@
     def apply(self, command) -> LeaseResult:
         return self.table.apply(command)
 
-    def test_fencing_numbers_grow_over_names_releases_and_snapshots(self):
-        # An engine that saw number 3 must never meet another order with 3 or
-        # less: not for another lease, not after the lease was given back,
-        # not after the table came back from a snapshot.
+    def test_fencing_numbers_increase_across_leases_and_snapshots(self):
+        # A fencing number must never be reused: not by another lease, nor
+        # after a release or a restored snapshot.
         state = ControlState()
         numbers = []
 
@@ -52,10 +51,10 @@
             state = restored
         self.assertEqual([1, 2, 3, 4, 5, 6], numbers)
 
-    def test_judgement_of_an_earlier_leader_is_void(self):
-        # The leader judged that a's lease had run out, and lost the lead
-        # while its proposal was on its way. The next leader renewed a's
-        # lease; the proposal arrives there and must not grant it to b.
+    def test_grant_proposed_in_an_earlier_epoch_is_rejected(self):
+        # A leader proposes to supersede a's lease and loses its leadership.
+        # The next leader may have renewed that lease, so that the delayed
+        # proposal must not grant it to b.
         self.apply(grant("x", "a"))
         self.apply(OpenEpoch(opener="b"))
         late = self.apply(grant("x", "b", superseded=1, epoch=1))
@@ -63,12 +62,12 @@
         self.assertEqual("vm-a", self.table.grants_by_name["x"].holder_id)
         self.assertTrue(self.apply(grant("x", "b", 1, epoch=2)).done)
 
-    def test_two_judgements_of_one_grant_give_one_lease(self):
+    def test_grant_is_superseded_only_once(self):
         self.apply(grant("x", "a"))
         self.assertTrue(self.apply(grant("x", "b", superseded=1)).done)
         self.assertFalse(self.apply(grant("x", "c", superseded=1)).done)
 
-    def test_doubled_commands_change_nothing_again(self):
+    def test_commands_are_idempotent(self):
         first = self.apply(grant("x", "a"))
         again = self.apply(grant("x", "a"))
         self.assertEqual(first.grant, again.grant)
--- a/tests/orders/bed.py
+++ b/tests/orders/bed.py
@@ -91,7 +91,7 @@
             name=name,
             fencing=self._board.fencing,
             expires_at=now + LEASE_SECONDS,
-            wait_out_until=now if first else now + WAIT_OUT_SECONDS,
+            former_orders_end_at=now if first else now + WAIT_OUT_SECONDS,
         )
         return self._lease
 
@@ -104,7 +104,7 @@
     async def order(self, name: str, *, checks_fencing: bool):
         lease = self.held(name)
         if lease is not None and not checks_fencing:
-            wait = lease.wait_out_until - self._clock.monotonic()
+            wait = lease.former_orders_end_at - self._clock.monotonic()
             if wait > 0:
                 await self._clock.sleep(wait)
             lease = self.held(name)
