--- a/burdockdrum/orders/budget.py
+++ b/burdockdrum/orders/budget.py
@@ -1,55 +1,60 @@
-"""This data centre's share of the weight store's rate limit."""
+"""Rate limit of the loads that a data centre starts from the weight store."""
 
 from burdockdrum.ports import Clock
 
-MINUTE_SECONDS = 60.0
+SECONDS_PER_MINUTE = 60.0
 
 
-class WeightBudget:
-    """A token bucket of loads that starts empty and holds one.
+class WeightLoadLimiter:
+    """A token bucket of weight loads, with an equal share per data centre.
 
-    It starts empty because a holder of the lease does not know what the
-    one before spent: however often the lease changes hands, no more than
-    the share is spent. It holds one, so that a pause saves up no burst.
+    It starts empty, so that a new lease holder cannot exceed the limit with
+    tokens that the previous holder has spent. Its capacity is one token, so
+    that no burst follows a pause.
     """
 
-    def __init__(self, *, clock: Clock, loads_a_minute: float) -> None:
+    def __init__(self, *, clock: Clock, loads_per_minute: float) -> None:
         """Create an empty bucket.
 
-        :param loads_a_minute: what the store gives to all data centres
+        :param loads_per_minute: rate limit of the weight store, which all
+            data centres share
         """
         self._clock = clock
-        self._total = loads_a_minute
-        self._most_data_centres = 1
+        self._loads_per_minute = loads_per_minute
+        self._max_data_centres = 1
         self._tokens = 0.0
-        self._filled_at: float | None = None
+        self._refilled_at: float | None = None
 
     def reset(self) -> None:
-        """Empty the bucket: another VM may have spent in the meantime."""
+        """Empty the bucket; another VM may have used the share meanwhile."""
         self._tokens = 0.0
-        self._filled_at = self._clock.monotonic()
+        self._refilled_at = self._clock.monotonic()
 
-    def note_data_centres(self, count: int) -> None:
-        """Take in how many data centres share the store.
+    def record_data_centres(self, count: int) -> None:
+        """Update the number of data centres that share the store.
 
-        The largest number ever seen counts: those behind a cut go on
-        loading.
+        The maximum ever seen counts, because data centres that are
+        unreachable may still load.
         """
-        self._fill()
-        self._most_data_centres = max(self._most_data_centres, count)
+        self._refill()
+        self._max_data_centres = max(self._max_data_centres, count)
 
-    def take(self) -> bool:
-        """Spend one load if there is one."""
-        self._fill()
+    def try_acquire(self) -> bool:
+        """Consume a token; return whether there was one."""
+        self._refill()
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
         return True
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now = self._clock.monotonic()
-        if self._filled_at is not None:
-            share = self._total / self._most_data_centres / MINUTE_SECONDS
-            gained = (now - self._filled_at) * share
+        if self._refilled_at is not None:
+            share = (
+                self._loads_per_minute
+                / self._max_data_centres
+                / SECONDS_PER_MINUTE
+            )
+            gained = (now - self._refilled_at) * share
             self._tokens = min(1.0, self._tokens + gained)
-        self._filled_at = now
+        self._refilled_at = now
--- a/burdockdrum/orders/freeze.py
+++ b/burdockdrum/orders/freeze.py
@@ -1,35 +1,33 @@
-"""Notice that many endpoints vanished at once, and hold still."""
+"""Suspension of orders after a sudden loss of many endpoints."""
 
 import collections
 
-WINDOW_SECONDS = 60.0
-# After the last drop, so long without an order.
-FREEZE_SECONDS = 60.0
-DROP_SHARE = 0.5
+COUNT_WINDOW_SECONDS = 60.0
+FREEZE_DURATION_SECONDS = 60.0
+FREEZE_FRACTION = 0.5
 MIN_ENDPOINTS = 4
 
 
 class Freeze:
-    """Half of the endpoints gone within a minute is a fault, not a wish.
+    """Suspends orders when the number of live endpoints drops suddenly.
 
-    A switch or a cut took them, or this VM's own view is wrong. To load
-    and move what is left would make a fault of the network into one of the
-    service.
+    The cause is then a network fault or an incomplete view of this VM, and
+    reloading the remaining endpoints would reduce the capacity further.
     """
 
     def __init__(self) -> None:
-        """Create a freeze that is not on."""
+        """Create an inactive freeze."""
         self._counts: collections.deque[tuple[float, int]] = (
             collections.deque()
         )
-        self._until = float("-inf")
+        self._frozen_until = float("-inf")
 
-    def note(self, count: int, now: float) -> bool:
-        """Take in how many endpoints live; say whether orders must wait."""
-        while self._counts and now - self._counts[0][0] > WINDOW_SECONDS:
+    def record_count(self, count: int, now: float) -> bool:
+        """Record the number of live endpoints; return whether to freeze."""
+        while self._counts and now - self._counts[0][0] > COUNT_WINDOW_SECONDS:
             self._counts.popleft()
-        most = max((seen for _, seen in self._counts), default=0)
-        if most >= MIN_ENDPOINTS and count <= most * DROP_SHARE:
-            self._until = now + FREEZE_SECONDS
+        highest = max((seen for _, seen in self._counts), default=0)
+        if highest >= MIN_ENDPOINTS and count <= highest * FREEZE_FRACTION:
+            self._frozen_until = now + FREEZE_DURATION_SECONDS
         self._counts.append((now, count))
-        return now < self._until
+        return now < self._frozen_until
--- a/burdockdrum/orders/model.py
+++ b/burdockdrum/orders/model.py
@@ -1,4 +1,4 @@
-"""Orders to endpoints, as JSON over HTTP, and what is planned."""
+"""Orders as sent to endpoints in JSON over HTTP, and planned orders."""
 
 from dataclasses import dataclass
 import enum
@@ -8,51 +8,53 @@
 
 from burdockdrum.endpoints import Endpoint
 
-Kind = Literal["load_version", "load_adapter", "unload_adapter"]
+OrderKind = Literal["load_version", "load_adapter", "unload_adapter"]
 
 
 class Order(msgspec.Struct, frozen=True, kw_only=True):
-    """What an endpoint is told to do, by POST to ``URL/orders``.
+    """An instruction to an endpoint, sent by POST to ``URL/orders``.
 
-    ``order_id`` is the same for the same wish, so that an endpoint that
-    gets it twice, also from two holders of the lease, acts on it once.
+    A repeated order has the same ``order_id``, even from another lease
+    holder, so that the endpoint executes it once.
     """
 
     order_id: str
-    kind: Kind
+    kind: OrderKind
     value: str
     fencing_number: int
 
 
 @dataclass(frozen=True, kw_only=True)
-class Planned:
-    """One step towards the desired state of a service."""
+class PlannedOrder:
+    """An order that brings an endpoint closer to its desired state."""
 
     endpoint: Endpoint
-    kind: Kind
+    kind: OrderKind
     value: str
     checks_fencing: bool
 
     @property
     def loads_weights(self) -> bool:
-        """Say whether the endpoint will fetch from the weight store."""
+        """Return whether the endpoint will load from the weight store."""
         return self.kind in ("load_version", "load_adapter")
 
     @property
-    def disturbs(self) -> bool:
-        """Say whether the endpoint serves less while it acts on it."""
-        return self.kind == "load_version" and is_warm(self.endpoint)
+    def is_disruptive(self) -> bool:
+        """Return whether it reduces the capacity of a serving endpoint."""
+        return self.kind == "load_version" and has_loaded_version(
+            self.endpoint
+        )
 
 
 class OrderOutcome(enum.Enum):
-    """What came of sending an order."""
+    """The outcome of sending an order."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     REFUSED = "refused"
     NOT_SENT = "not sent"
     UNKNOWN = "unknown"
 
 
-def is_warm(endpoint: Endpoint) -> bool:
-    """Say whether an endpoint has anything loaded to serve with."""
+def has_loaded_version(endpoint: Endpoint) -> bool:
+    """Return whether an endpoint has any version loaded."""
     return bool(endpoint.versions)
--- a/burdockdrum/orders/planner.py
+++ b/burdockdrum/orders/planner.py
@@ -1,13 +1,13 @@
-"""Which orders bring a service's endpoints nearer to its desired state."""
+"""Plans the orders that bring endpoints to the state their service desires."""
 
 from collections.abc import Collection
 from collections.abc import Iterator
 from collections.abc import Sequence
 
 from burdockdrum.endpoints import Endpoint
-from burdockdrum.orders.model import is_warm
-from burdockdrum.orders.model import Kind
-from burdockdrum.orders.model import Planned
+from burdockdrum.orders.model import has_loaded_version
+from burdockdrum.orders.model import OrderKind
+from burdockdrum.orders.model import PlannedOrder
 from burdockdrum.resources import ServiceSpec
 
 
@@ -15,31 +15,32 @@
     spec: ServiceSpec,
     endpoints: Sequence[Endpoint],
     pending_ids: Collection[str],
-) -> list[Planned]:
-    """Return the orders that may be given now, in the order to give them.
+) -> list[PlannedOrder]:
+    """Return the orders that may be sent now, in sending order.
 
-    At most one at a time for each endpoint. Endpoints are taken in the
-    order of their ids, those with nothing loaded first: the holder of the
-    lease after this one plans the same, so that the endpoints that load for
-    either are the same ones.
+    Each endpoint has at most one order at a time. Endpoints without a loaded
+    version come first, then they are sorted by id, so that the next lease
+    holder continues with the same endpoints.
 
-    :param endpoints: those of the service that get work
-    :param pending_ids: endpoints that act on an order already
+    :param endpoints: live endpoints of the service that are not draining
+    :param pending_ids: ids of the endpoints with an unfinished order
     """
     if spec.type != "model" or not (spec.version or spec.adapters):
         return []
-    warm = [e for e in endpoints if is_warm(e)]
-    disturbed = sum(1 for e in warm if e.endpoint_id in pending_ids)
-    may_disturb = _count_disturbable(spec, len(warm)) - disturbed
+    loaded = [e for e in endpoints if has_loaded_version(e)]
+    disrupted = sum(1 for e in loaded if e.endpoint_id in pending_ids)
+    allowed_disruptions = (
+        _count_allowed_disruptions(spec, len(loaded)) - disrupted
+    )
     planned = []
     for endpoint in sorted(endpoints, key=_sort_key):
         if endpoint.endpoint_id in pending_ids:
             continue
-        step = next(_steps(spec, endpoint), None)
+        step = next(_needed_steps(spec, endpoint), None)
         if step is None:
             continue
         kind, value = step
-        order = Planned(
+        order = PlannedOrder(
             endpoint=endpoint,
             kind=kind,
             value=value,
@@ -47,24 +48,24 @@
                 spec.engines_check_fencing and endpoint.checks_fencing
             ),
         )
-        if order.disturbs:
-            if may_disturb <= 0:
+        if order.is_disruptive:
+            if allowed_disruptions <= 0:
                 continue
-            may_disturb -= 1
+            allowed_disruptions -= 1
         planned.append(order)
     return planned
 
 
-def _count_disturbable(spec: ServiceSpec, warm: int) -> int:
-    # The last warm endpoint is never taken: until another one has loaded
-    # something, the service would be gone from this data centre.
-    floor = max(1, min(spec.min_replicas, warm - 1))
-    return max(0, min(spec.max_unavailable, warm - floor))
+def _count_allowed_disruptions(spec: ServiceSpec, loaded: int) -> int:
+    # At least one loaded endpoint keeps serving; otherwise the service would
+    # be unavailable in this data centre until a load completes.
+    floor = max(1, min(spec.min_replicas, loaded - 1))
+    return max(0, min(spec.max_unavailable, loaded - floor))
 
 
-def _steps(
+def _needed_steps(
     spec: ServiceSpec, endpoint: Endpoint
-) -> Iterator[tuple[Kind, str]]:
+) -> Iterator[tuple[OrderKind, str]]:
     if spec.version and spec.version not in endpoint.versions:
         yield "load_version", spec.version
     for adapter in spec.adapters:
@@ -75,4 +76,4 @@
 
 
 def _sort_key(endpoint: Endpoint) -> tuple[bool, str]:
-    return is_warm(endpoint), endpoint.endpoint_id
+    return has_loaded_version(endpoint), endpoint.endpoint_id
--- a/burdockdrum/orders/ports.py
+++ b/burdockdrum/orders/ports.py
@@ -1,4 +1,4 @@
-"""What orders need of the leases."""
+"""Interface to the leases that orders depend on."""
 
 from contextlib import AbstractAsyncContextManager
 from typing import Protocol
@@ -7,10 +7,10 @@
 
 
 class Leases(Protocol):
-    """Leases with fencing numbers, as ``LeaseService`` offers them."""
+    """Leases with fencing numbers; implemented by ``LeaseService``."""
 
     def held(self, name: str) -> Lease | None:
-        """Return a lease while this VM provably holds it."""
+        """Return the lease if this VM provably holds it."""
         ...
 
     async def acquire(self, name: str, *, timeout: float = 5.0) -> Lease:
@@ -18,11 +18,11 @@
         ...
 
     async def release(self, name: str) -> None:
-        """Give a lease back."""
+        """Release a lease."""
         ...
 
     def order(
         self, name: str, *, checks_fencing: bool
     ) -> AbstractAsyncContextManager[Lease]:
-        """Bound an order in time; raise ``LeaseNotHeld`` before it."""
+        """Run an order with a time limit, or raise ``LeaseNotHeld``."""
         ...
--- a/burdockdrum/orders/sender.py
+++ b/burdockdrum/orders/sender.py
@@ -1,4 +1,4 @@
-"""Send one order to one endpoint."""
+"""Sends orders to endpoints."""
 
 from typing import Protocol
 
@@ -8,7 +8,7 @@
 from burdockdrum.leases import LeaseNotHeld
 from burdockdrum.orders.model import Order
 from burdockdrum.orders.model import OrderOutcome
-from burdockdrum.orders.model import Planned
+from burdockdrum.orders.model import PlannedOrder
 from burdockdrum.orders.ports import Leases
 from burdockdrum.ports import AnswerLost
 from burdockdrum.ports import ConnectFailed
@@ -20,19 +20,19 @@
 _OK = 200
 
 
-class Sender(Protocol):
-    """What the reconciler gives orders through."""
+class OrderSender(Protocol):
+    """Interface through which the reconciler sends orders."""
 
-    async def send(self, planned: Planned, order_id: str) -> OrderOutcome:
-        """Send an order; say what came of it."""
+    async def send(self, planned: PlannedOrder, order_id: str) -> OrderOutcome:
+        """Send an order and return its outcome."""
         ...
 
 
-class HttpSender:
-    """Give orders under the lease, with its fencing number.
+class HttpOrderSender:
+    """Sends orders over HTTP with the fencing number of the lease.
 
-    For endpoints that check no number, the lease's ``order`` waits until
-    every order of the holder before has ended, and bounds this one.
+    For endpoints that don't check fencing numbers, the lease's ``order``
+    waits until all orders of the previous holder have ended.
     """
 
     def __init__(
@@ -49,11 +49,11 @@
         self._lease_name = lease_name
         self._timeline = timeline
 
-    async def send(self, planned: Planned, order_id: str) -> OrderOutcome:
-        """Send an order; say what came of it.
+    async def send(self, planned: PlannedOrder, order_id: str) -> OrderOutcome:
+        """Send an order and return its outcome.
 
-        An endpoint loads for longer than an order may take: its reports
-        tell when it is done, so an answer that does not come is no fault.
+        Loading takes longer than the timeout of an order. The endpoint's
+        reports show when it is done, so a timeout is not an error.
         """
         try:
             async with self._leases.order(
@@ -78,7 +78,7 @@
         )
         return outcome
 
-    async def _post(self, planned: Planned, order: Order) -> OrderOutcome:
+    async def _post(self, planned: PlannedOrder, order: Order) -> OrderOutcome:
         call = UpstreamCall(
             method="POST",
             url=planned.endpoint.url + "/orders",
@@ -86,19 +86,19 @@
             body=msgspec.json.encode(order),
         )
         try:
-            answer = await self._http.open(call)
+            response = await self._http.open(call)
         except ConnectFailed:
             return OrderOutcome.NOT_SENT
         except AnswerLost:
             return OrderOutcome.UNKNOWN
-        await answer.close()
-        if answer.status == _OK:
-            return OrderOutcome.TAKEN
-        if answer.status != _CONFLICT:
+        await response.close()
+        if response.status == _OK:
+            return OrderOutcome.ACCEPTED
+        if response.status != _CONFLICT:
             logger.warning(
-                "{} answered {} to {}",
+                "endpoint {} responded with status {} to order {}",
                 planned.endpoint.endpoint_id,
-                answer.status,
+                response.status,
                 order.order_id,
             )
         return OrderOutcome.REFUSED
--- a/burdockdrum/orders/services.py
+++ b/burdockdrum/orders/services.py
@@ -1,4 +1,4 @@
-"""Name the services of this package."""
+"""Registers the services of this package in the kernel."""
 
 import random
 
@@ -6,9 +6,9 @@
 from burdockdrum.endpoints import EndpointRegistry
 from burdockdrum.kernel import Kernel
 from burdockdrum.leases import LeaseService
-from burdockdrum.orders.budget import WeightBudget
+from burdockdrum.orders.budget import WeightLoadLimiter
 from burdockdrum.orders.reconciler import Reconciler
-from burdockdrum.orders.sender import HttpSender
+from burdockdrum.orders.sender import HttpOrderSender
 from burdockdrum.ports import Clock
 from burdockdrum.ports import HttpClient
 from burdockdrum.resources import ServiceSpec
@@ -19,7 +19,7 @@
 
 
 def add_services(kernel: Kernel) -> None:
-    """Name the reconciler of endpoints."""
+    """Register the reconciler of endpoints."""
     kernel.add("orders", _build_orders)
 
 
@@ -43,7 +43,7 @@
             if vms.identity.region in spec.regions
         }
 
-    def may_hold() -> bool:
+    def may_acquire() -> bool:
         relay = vms.relay_of(data_centre)
         return relay is not None and relay.identity == vms.identity
 
@@ -53,19 +53,19 @@
         rng=kernel.find("random", random.Random),
         timeline=timeline,
         leases=leases,
-        sender=HttpSender(
+        sender=HttpOrderSender(
             http=kernel.find("http", HttpClient),
             leases=leases,
             lease_name=f"orders/{data_centre}",
             timeline=timeline,
         ),
         registry=kernel.find("endpoints", EndpointRegistry),
-        budget=WeightBudget(
-            clock=clock, loads_a_minute=settings.orders.loads_a_minute
+        limiter=WeightLoadLimiter(
+            clock=clock, loads_per_minute=settings.orders.loads_a_minute
         ),
         read_services=read_services,
-        read_data_centres=count_data_centres,
-        may_hold=may_hold,
+        count_data_centres=count_data_centres,
+        may_acquire=may_acquire,
     )
-    kernel.find("drain", Drain).add_hook(reconciler.hand_on)
+    kernel.find("drain", Drain).add_hook(reconciler.drain)
     return reconciler
--- a/tests/orders/bed.py
+++ b/tests/orders/bed.py
@@ -1,4 +1,4 @@
-"""Two holders of one lease, engines, and a desired state."""
+"""Test harness: VMs that contend for a lease, engines, a desired state."""
 
 import asyncio
 import contextlib
@@ -20,9 +20,9 @@
 from burdockdrum.leases import RENEW_SECONDS
 from burdockdrum.leases import SUPERSEDE_SECONDS
 from burdockdrum.leases import WAIT_OUT_SECONDS
-from burdockdrum.orders import HttpSender
+from burdockdrum.orders import HttpOrderSender
 from burdockdrum.orders import Reconciler
-from burdockdrum.orders import WeightBudget
+from burdockdrum.orders import WeightLoadLimiter
 from burdockdrum.ports import UpstreamCall
 from burdockdrum.resources import ServiceSpec
 from burdockdrum.testing import FakeAnswer
@@ -34,15 +34,15 @@
 from burdockdrum.timeline import Timeline
 
 
-class LeaseBoard:
-    """One lease, as the control VMs would grant it."""
+class FakeLeaseTable:
+    """Grants one lease, as the control VMs would."""
 
     def __init__(self) -> None:
         self.fencing = 0
         self.holder: object | None = None
         self.granted_at = float("-inf")
 
-    def ask(self, holder: object, now: float) -> int | None:
+    def request_grant(self, holder: object, now: float) -> int | None:
         if self.holder not in (None, holder):
             if now - self.granted_at < SUPERSEDE_SECONDS:
                 return None
@@ -54,12 +54,12 @@
         return self.fencing
 
 
-class HolderLeases:
-    """The lease as one VM sees it; ``cut`` keeps it from the board."""
+class FakeLeases:
+    """The lease of one VM; ``cut`` disconnects it from the table."""
 
-    def __init__(self, *, board: LeaseBoard, clock: VirtualClock) -> None:
+    def __init__(self, *, table: FakeLeaseTable, clock: VirtualClock) -> None:
         self.cut = False
-        self._board = board
+        self._table = table
         self._clock = clock
         self._lease: Lease | None = None
 
@@ -70,7 +70,7 @@
         return self._lease
 
     def stop_clock(self) -> None:
-        """Believe in the lease for ever."""
+        """Keep the lease valid forever, as with a stopped clock."""
         assert self._lease is not None
         self._lease = replace(self._lease, expires_at=float("inf"))
 
@@ -79,17 +79,17 @@
             await self._clock.sleep(RENEW_SECONDS)
             now = self._clock.monotonic()
             is_held = self._lease and now < self._lease.expires_at
-            if is_held and not self.cut and self._board.holder is self:
+            if is_held and not self.cut and self._table.holder is self:
                 self._renew(now)
 
     async def acquire(self, name: str, *, timeout: float = 5.0) -> Lease:
         now = self._clock.monotonic()
-        if self.cut or self._board.ask(self, now) is None:
-            raise LeaseUnavailable("another has it", retry_after=1.0)
-        first = self._board.fencing == 1
+        if self.cut or self._table.request_grant(self, now) is None:
+            raise LeaseUnavailable("held by another VM", retry_after=1.0)
+        first = self._table.fencing == 1
         self._lease = Lease(
             name=name,
-            fencing=self._board.fencing,
+            fencing=self._table.fencing,
             expires_at=now + LEASE_SECONDS,
             former_orders_end_at=now if first else now + WAIT_OUT_SECONDS,
         )
@@ -97,8 +97,8 @@
 
     async def release(self, name: str) -> None:
         self._lease = None
-        if self._board.holder is self:
-            self._board.holder = None
+        if self._table.holder is self:
+            self._table.holder = None
 
     @contextlib.asynccontextmanager
     async def order(self, name: str, *, checks_fencing: bool):
@@ -115,12 +115,12 @@
 
     def _renew(self, now: float) -> None:
         assert self._lease is not None
-        self._board.granted_at = now
+        self._table.granted_at = now
         self._lease = replace(self._lease, expires_at=now + LEASE_SECONDS)
 
 
 class Engine:
-    """An endpoint whose orders are recorded with their time."""
+    """An endpoint that records when it accepted each order."""
 
     def __init__(
         self, *, name: str, versions: set[str], checks_fencing: bool
@@ -132,7 +132,7 @@
         self.checks_fencing = checks_fencing
         self.load_seconds = 5.0
         self.alive = True
-        self.taken: list[tuple[float, int]] = []
+        self.accepted_orders: list[tuple[float, int]] = []
         self.loading = 0
         self._tasks: set[asyncio.Task] = set()
 
@@ -143,11 +143,11 @@
         return await self._carry_out(order)
 
     async def _load(self, order: Order) -> FakeAnswer:
-        highest = max((n for _, n in self.taken), default=0)
+        highest = max((n for _, n in self.accepted_orders), default=0)
         if self.checks_fencing and order.fencing_number < highest:
             return FakeAnswer(status=409)
         now = asyncio.get_running_loop().time()
-        self.taken.append((now, order.fencing_number))
+        self.accepted_orders.append((now, order.fencing_number))
         task = asyncio.create_task(self._finish(order))
         self._tasks.add(task)
         return FakeAnswer()
@@ -163,14 +163,14 @@
         return FakeAnswer()
 
 
-class OrdersBed:
-    """A data centre with engines and as many would-be holders as asked."""
+class OrdersHarness:
+    """A data centre with engines and VMs that contend for the lease."""
 
     def __init__(self, *, seed: int, spec: ServiceSpec) -> None:
         self.spec = spec
         self.network = FakeNetwork(rng=random.Random(seed))
         self.web = FakeWeb(network=self.network)
-        self.board = LeaseBoard()
+        self.table = FakeLeaseTable()
         self.engines: list[Engine] = []
         self.tasks: list[asyncio.Task] = []
         self._seed = seed
@@ -193,16 +193,16 @@
         host: str,
         *,
         data_centres: int = 1,
-        loads_a_minute: float = 600.0,
-        board: LeaseBoard | None = None,
-    ) -> "Holder":
+        loads_per_minute: float = 600.0,
+        table: FakeLeaseTable | None = None,
+    ) -> "HolderVm":
         self._seed += 1
-        return Holder(
-            bed=self,
+        return HolderVm(
+            harness=self,
             host=host,
             data_centres=data_centres,
-            loads_a_minute=loads_a_minute,
-            board=board or self.board,
+            loads_per_minute=loads_per_minute,
+            table=table or self.table,
             seed=self._seed,
         )
 
@@ -211,17 +211,17 @@
             task.cancel()
 
 
-class Holder:
-    """A VM that may hold the lease; it hears the engines' reports."""
+class HolderVm:
+    """A VM that may hold the lease and receives the engines' reports."""
 
     def __init__(
         self,
         *,
-        bed: OrdersBed,
+        harness: OrdersHarness,
         host: str,
         data_centres: int,
-        loads_a_minute: float,
-        board: LeaseBoard,
+        loads_per_minute: float,
+        table: FakeLeaseTable,
         seed: int,
     ) -> None:
         clock = VirtualClock()
@@ -229,35 +229,37 @@
             process=host, incarnation=1, clock=HybridClock(clock=clock)
         )
         self.registry = EndpointRegistry(clock=clock, timeline=self.timeline)
-        self.leases = HolderLeases(board=board, clock=clock)
+        self.leases = FakeLeases(table=table, clock=clock)
         self.reconciler = Reconciler(
             data_centre="dc",
             clock=clock,
             rng=random.Random(seed),
             timeline=self.timeline,
             leases=self.leases,
-            sender=HttpSender(
-                http=FakeHttpClient(web=bed.web, host=host),
+            sender=HttpOrderSender(
+                http=FakeHttpClient(web=harness.web, host=host),
                 leases=self.leases,
                 lease_name="orders/dc",
                 timeline=self.timeline,
             ),
             registry=self.registry,
-            budget=WeightBudget(clock=clock, loads_a_minute=loads_a_minute),
-            read_services=lambda: {"planner": bed.spec},
-            read_data_centres=lambda: data_centres,
-            may_hold=lambda: True,
+            limiter=WeightLoadLimiter(
+                clock=clock, loads_per_minute=loads_per_minute
+            ),
+            read_services=lambda: {"planner": harness.spec},
+            count_data_centres=lambda: data_centres,
+            may_acquire=lambda: True,
         )
-        self._bed = bed
-        bed.tasks.append(asyncio.create_task(self._hear()))
-        bed.tasks.append(asyncio.create_task(self.leases.run()))
-        bed.tasks.append(asyncio.create_task(self.reconciler.run()))
+        self._harness = harness
+        harness.tasks.append(asyncio.create_task(self._report_engines()))
+        harness.tasks.append(asyncio.create_task(self.leases.run()))
+        harness.tasks.append(asyncio.create_task(self.reconciler.run()))
 
-    async def _hear(self) -> None:
+    async def _report_engines(self) -> None:
         sequence = 0
         while True:
             sequence += 1
-            for engine in self._bed.engines:
+            for engine in self._harness.engines:
                 if engine.alive:
                     self._report(engine, sequence)
             self.registry.prune()
--- a/tests/orders/test_whole_path.py
+++ b/tests/orders/test_whole_path.py
@@ -1,4 +1,4 @@
-"""An operator's wish becomes an engine's version, over a whole VM."""
+"""A configured version is loaded by engines, through a complete VM."""
 
 import asyncio
 import random
@@ -24,7 +24,7 @@
 
 
 class WholePathTest(unittest.TestCase):
-    """One VM with the lease, two engines with an old version."""
+    """One VM that holds the lease, and two engines with an old version."""
 
     def setUp(self):
         self.announcing: list[asyncio.Task] = []
