--- a/burdockdrum/http1/__init__.py
+++ b/burdockdrum/http1/__init__.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 without a framework, for requests that are passed through.
+"""HTTP/1.1 server and client connections for the reverse proxy.
 
-The parser is ``httptools``. What stands here is what a pass-through needs
-and frameworks hide: when exactly a caller has gone, whether a byte of a
-request may have left, and which connections may be used again.
+Messages are parsed by ``httptools``. The package exposes what frameworks
+hide and a proxy needs: when a caller disconnects, whether any byte of a
+request may have been sent, and which connections can be reused.
 """
 
 from burdockdrum.http1.client import ClientConnection
--- a/burdockdrum/http1/client.py
+++ b/burdockdrum/http1/client.py
@@ -1,4 +1,8 @@
-"""Connections to endpoints and to other VMs, one request at a time."""
+"""Client connections to endpoints and other VMs, and a connection pool.
+
+A connection carries one request at a time and is reused only while it is
+certain that no byte of another response is pending on it.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -10,27 +14,28 @@
 from burdockdrum.http1.heads import find_header
 from burdockdrum.http1.heads import Headers
 from burdockdrum.http1.numbers import parse_count
-from burdockdrum.http1.sockets import watch_peer
+from burdockdrum.http1.sockets import enable_keepalive
 
 MAX_BUFFERED_BYTES = 128 * 1024
-# Where a peer names no limit of its own it closes idle connections at a
-# time that only it knows; most servers wait five seconds or longer.
-DEFAULT_IDLE_SECONDS = 4.0
-# Of the limit that a peer names: a request that meets its close is lost.
-IDLE_SHARE = 0.7
+# Used when a server sends no Keep-Alive timeout; most servers close idle
+# connections after five seconds or more.
+DEFAULT_IDLE_TIMEOUT_SECONDS = 4.0
+# Applied to the server's Keep-Alive timeout, so that a request is not lost
+# by being sent while the server closes the connection.
+IDLE_TIMEOUT_FACTOR = 0.7
 
 
 class NotConnected(Exception):
-    """No connection came about: no byte of the request has left."""
+    """The connection failed; no byte of the request was sent."""
 
 
 class ResponseLost(Exception):
-    """The response broke off, or was not one, after the request had left."""
+    """The response was truncated or malformed after the request was sent."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ResponseHead:
-    """The status and headers of a response, names as they were sent."""
+    """The status and headers of a response; names keep their case."""
 
     status: int
     headers: Headers
@@ -41,17 +46,17 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection; a response whose id is another request's is skipped.
+    """A connection that carries one request at a time.
 
-    Bytes that come after a response belong to no request: the connection is
-    not used again.
+    A response that names another request's id is skipped. A connection that
+    receives bytes after the end of a response is not reused.
     """
 
     def __init__(self, *, id_header: bytes) -> None:
         """Create a connection that is not open yet.
 
-        :param id_header: the header in which a response names its request,
-            in lower case
+        :param id_header: the response header that carries the id of the
+            request, in lower case
         """
         self._id_header = id_header
         self._expected_id: bytes | None = None
@@ -69,13 +74,13 @@
         self._error: Exception | None = None
         self._waiter: asyncio.Future[None] | None = None
         self._keep_alive = True
-        self._framed = False
-        self.idle_seconds = DEFAULT_IDLE_SECONDS
+        self._has_framing = False
+        self.idle_timeout_seconds = DEFAULT_IDLE_TIMEOUT_SECONDS
         self.on_lost: Callable[[], None] | None = None
 
     @property
     def reusable(self) -> bool:
-        """Say whether another request may be sent."""
+        """Whether another request may be sent."""
         return (
             self._complete
             and self._keep_alive
@@ -86,9 +91,9 @@
         )
 
     def send(self, payload: bytes, request_id: bytes | None) -> None:
-        """Write a whole request.
+        """Send a complete request.
 
-        :param request_id: what the response must name, None for any
+        :param request_id: the id that the response must carry, None for any
         """
         assert self._transport is not None
         self._expected_id = request_id
@@ -101,14 +106,14 @@
     async def read_head(self) -> ResponseHead:
         """Wait for the head of the response.
 
-        :raises ResponseLost: if it does not come
+        :raises ResponseLost: if the connection ends before it arrives
         """
         while self._head is None:
             await self._wait()
         return self._head
 
     async def read_part(self) -> bytes | None:
-        """Return the next part of the body, or None at its end.
+        """Return the next part of the body, or None at the end.
 
         :raises ResponseLost: if the connection ends before the body does
         """
@@ -125,21 +130,25 @@
         return part
 
     def close(self) -> None:
-        """Close at once; an endpoint that still runs the request stops."""
+        """Abort the connection, which cancels a request still running."""
         self._dirty = True
         if self._transport is not None:
             self._transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the open connection."""
+        """Store the transport and enable TCP keepalive."""
         # uvloop's transports have the methods but not the base class.
         self._transport = cast(asyncio.Transport, transport)
-        watch_peer(transport)
+        enable_keepalive(transport)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Take the end of the connection."""
+        """Complete an unframed response, or fail one that is incomplete."""
         if not self._complete:
-            if self._head is not None and not self._framed and error is None:
+            if (
+                self._head is not None
+                and not self._has_framing
+                and error is None
+            ):
                 self._complete = True
             else:
                 self._fail(error or EOFError("closed by the peer"))
@@ -150,7 +159,7 @@
             self.on_lost()
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes from the peer."""
+        """Parse received bytes; pause reading when the buffer is full."""
         if self._complete:
             self._dirty = True
             self.close()
@@ -171,17 +180,17 @@
         self._wake()
 
     def on_message_begin(self) -> None:
-        """Take the start of a response."""
+        """Start a response; one that follows a complete one is stray."""
         self._headers = []
         if self._complete:
             self._dirty = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Add a header of the response."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Take a head: of an interim response, of a stray one, or ours."""
+        """Decide whether the response is interim, stray or the expected."""
         status = self._parser.get_status_code()
         self._is_interim = status < 200
         if self._dirty or self._is_interim:
@@ -195,22 +204,22 @@
         )
         if self._is_skipping:
             return
-        self._framed = (
+        self._has_framing = (
             head.find(b"content-length") is not None
             or head.find(b"transfer-encoding") is not None
         )
-        self._note_idle_limit(head)
+        self._update_idle_timeout(head)
         self._head = head
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of a body."""
+        """Buffer a part of the body."""
         if self._is_skipping or self._dirty:
             return
         self._parts.append(body)
         self._buffered += len(body)
 
     def on_message_complete(self) -> None:
-        """Take the end of a response."""
+        """Complete the response unless it was interim or skipped."""
         if self._dirty:
             return
         if self._is_interim or self._is_skipping:
@@ -219,7 +228,7 @@
         self._keep_alive = self._parser.should_keep_alive()
         self._complete = True
 
-    def _note_idle_limit(self, head: ResponseHead) -> None:
+    def _update_idle_timeout(self, head: ResponseHead) -> None:
         value = head.find(b"keep-alive")
         if value is None:
             return
@@ -227,7 +236,7 @@
             name, _, number = item.strip().partition(b"=")
             seconds = parse_count(number)
             if name.lower() == b"timeout" and seconds is not None:
-                self.idle_seconds = seconds * IDLE_SHARE
+                self.idle_timeout_seconds = seconds * IDLE_TIMEOUT_FACTOR
 
     async def _wait(self) -> None:
         if self._error is not None:
@@ -248,14 +257,14 @@
 
 
 class ConnectionPool:
-    """Connections by address, and the idle ones among them."""
+    """A pool of keep-alive connections by address."""
 
     def __init__(
         self, *, id_header: bytes, on_open: Callable[[], None] | None = None
     ) -> None:
         """Create an empty pool.
 
-        :param on_open: is called for each connection that is opened
+        :param on_open: called before each attempt to open a connection
         """
         self.open_by_address: dict[str, int] = {}
         self._id_header = id_header
@@ -267,14 +276,14 @@
     async def take(self, address: str, *, timeout: float) -> ClientConnection:
         """Return an idle connection, or open one.
 
-        :param timeout: seconds that opening one may take
-        :raises NotConnected: if none came about
+        :param timeout: limit in seconds for opening one
+        :raises NotConnected: if the connection could not be opened
         """
         loop = asyncio.get_running_loop()
         idle = self._idle_by_address.get(address, [])
         while idle:
-            until, connection = idle.pop()
-            if connection.reusable and loop.time() < until:
+            expires_at, connection = idle.pop()
+            if connection.reusable and loop.time() < expires_at:
                 return connection
             connection.close()
         host, _, port = address.rpartition(":")
@@ -289,31 +298,33 @@
                 )
         except (OSError, TimeoutError, ValueError) as error:
             raise NotConnected(f"{address}: {error!r}") from error
-        self._count(address, 1)
-        connection.on_lost = lambda: self._count(address, -1)
+        self._change_open_count(address, 1)
+        connection.on_lost = lambda: self._change_open_count(address, -1)
         return connection
 
     def give_back(self, address: str, connection: ClientConnection) -> None:
-        """Keep a connection for the next request, if it can take one."""
+        """Return a connection to the pool, or close it if not reusable."""
         if not connection.reusable:
             connection.close()
             return
-        until = asyncio.get_running_loop().time() + connection.idle_seconds
+        expires_at = (
+            asyncio.get_running_loop().time() + connection.idle_timeout_seconds
+        )
         idle = self._idle_by_address.setdefault(address, [])
-        idle.append((until, connection))
+        idle.append((expires_at, connection))
 
     def prune(self) -> None:
-        """Close the connections that have been idle for too long."""
+        """Close idle connections that expired or can't be reused."""
         now = asyncio.get_running_loop().time()
         for address, idle in list(self._idle_by_address.items()):
-            kept = []
-            for until, connection in idle:
-                if connection.reusable and now < until:
-                    kept.append((until, connection))
+            remaining = []
+            for expires_at, connection in idle:
+                if connection.reusable and now < expires_at:
+                    remaining.append((expires_at, connection))
                 else:
                     connection.close()
-            if kept:
-                self._idle_by_address[address] = kept
+            if remaining:
+                self._idle_by_address[address] = remaining
             else:
                 del self._idle_by_address[address]
 
@@ -324,7 +335,7 @@
                 connection.close()
         self._idle_by_address.clear()
 
-    def _count(self, address: str, change: int) -> None:
+    def _change_open_count(self, address: str, change: int) -> None:
         count = self.open_by_address.get(address, 0) + change
         if count > 0:
             self.open_by_address[address] = count
--- a/burdockdrum/http1/heads.py
+++ b/burdockdrum/http1/heads.py
@@ -1,11 +1,11 @@
-"""Headers, and the heads of requests and responses as bytes."""
+"""Find, filter and encode headers and the heads of messages."""
 
 from collections.abc import Iterable
 import http
 
 Headers = list[tuple[bytes, bytes]]
 
-# RFC 9110, section 7.6.1: these concern one connection only.
+# Hop-by-hop headers, RFC 9110, section 7.6.1.
 _CONNECTION_HEADERS = frozenset(
     {
         b"connection",
@@ -34,22 +34,22 @@
 def without_connection_headers(
     headers: Headers, dropped: frozenset[bytes] = frozenset()
 ) -> Headers:
-    """Leave out what concerns one connection or the framing of a body.
+    """Return headers without those of the hop or of the body's framing.
 
-    :param dropped: further names to leave out, in lower case
+    :param dropped: further names to remove, in lower case
     """
     named = find_header(headers, b"connection")
     listed: frozenset[bytes] = frozenset()
     if named is not None:
         listed = frozenset(n.strip().lower() for n in named.split(b","))
-    out = _CONNECTION_HEADERS | _FRAMING_HEADERS | dropped | listed
-    return [pair for pair in headers if pair[0].lower() not in out]
+    removed = _CONNECTION_HEADERS | _FRAMING_HEADERS | dropped | listed
+    return [pair for pair in headers if pair[0].lower() not in removed]
 
 
 def encode_request(
     method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]]
 ) -> bytes:
-    """Return the head of a request, its empty line included."""
+    """Encode the head of a request, including the final empty line."""
     lines = [b"%s %s HTTP/1.1" % (method, target)]
     lines += [b"%s: %s" % pair for pair in headers]
     return b"\r\n".join(lines) + b"\r\n\r\n"
@@ -58,7 +58,7 @@
 def encode_response(
     status: int, headers: Iterable[tuple[bytes, bytes]]
 ) -> bytes:
-    """Return the head of a response, its empty line included."""
+    """Encode the head of a response, including the final empty line."""
     reason = _REASONS_BY_STATUS.get(status, b"")
     lines = [b"HTTP/1.1 %d %s" % (status, reason)]
     lines += [b"%s: %s" % pair for pair in headers]
--- a/burdockdrum/http1/listener.py
+++ b/burdockdrum/http1/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket, its limits and its open connections."""
+"""The server's listening socket, its limits and open connections."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -11,14 +11,14 @@
 
 Handler = Callable[[Exchange], Awaitable[None]]
 
-# Connections that the kernel keeps until they are accepted. A burst opens
-# hundreds at once, and one that finds the queue full waits for seconds.
+# The accept queue holds a burst of hundreds of connections; a client that
+# finds it full retransmits its SYN only after a second or more.
 BACKLOG = 1024
 
 
 @dataclass(frozen=True, kw_only=True)
 class Limits:
-    """What a caller may send, and how long it may take or be idle."""
+    """Size limits of requests, and timeouts of connections."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -27,7 +27,7 @@
 
 
 class Listener:
-    """Accept connections and hand their requests to a handler."""
+    """Accepts connections and passes their requests to a handler."""
 
     def __init__(
         self,
@@ -38,8 +38,8 @@
     ) -> None:
         """Create a listener that is not open yet.
 
-        :param address: ``IP:PORT``; port 0 takes a free one
-        :param read_limits: returns the limits in force
+        :param address: ``IP:PORT``; port 0 selects a free one
+        :param read_limits: returns the current limits
         """
         self.draining = False
         self.connections: set[ServerConnection] = set()
@@ -50,42 +50,42 @@
 
     @property
     def header_bytes(self) -> int:
-        """Return the largest head taken."""
+        """The maximum size of a request's head."""
         return self._read_limits().header_bytes
 
     @property
     def body_bytes(self) -> int:
-        """Return the largest body taken."""
+        """The maximum size of a request's body."""
         return self._read_limits().body_bytes
 
     @property
     def header_seconds(self) -> float:
-        """Return how long a head, or a body, may take to arrive."""
+        """The timeout for receiving a complete request."""
         return self._read_limits().header_seconds
 
     @property
     def idle_seconds(self) -> float:
-        """Return how long a connection may be idle."""
+        """The idle timeout of a connection."""
         return self._read_limits().idle_seconds
 
     @property
     def address(self) -> str:
-        """Return where it listens, as ``IP:PORT``."""
+        """The address of the listening socket, as ``IP:PORT``."""
         if self._server is None:
             return self._address
         host, port = self._server.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
 
-    def note_opened(self, connection: ServerConnection) -> None:
-        """Take note of a connection."""
+    def add_connection(self, connection: ServerConnection) -> None:
+        """Add an open connection."""
         self.connections.add(connection)
 
-    def note_closed(self, connection: ServerConnection) -> None:
-        """Take note of the end of a connection."""
+    def remove_connection(self, connection: ServerConnection) -> None:
+        """Remove a connection that was closed."""
         self.connections.discard(connection)
 
     async def open(self) -> None:
-        """Listen from now on."""
+        """Bind the socket and start accepting connections."""
         host, _, port = self._address.rpartition(":")
         raw = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -99,7 +99,7 @@
         )
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is under way."""
+        """Close the connections without a request in progress."""
         for connection in list(self.connections):
             if connection.idle:
                 connection.close()
--- a/burdockdrum/http1/numbers.py
+++ b/burdockdrum/http1/numbers.py
@@ -1,12 +1,11 @@
-"""Numbers in headers, which anybody may have written."""
+"""Parse numbers in headers, which are untrusted input."""
 
-# As many digits as a count, a length or a time in milliseconds ever has.
-# Python refuses to convert thousands of digits, with an error of its own.
+# Longer numbers are rejected: int() raises ValueError on thousands of digits.
 MAX_DIGITS = 15
 
 
 def parse_count(value: bytes | None) -> int | None:
-    """Return a number that is not negative, None if it is none."""
+    """Parse a non-negative integer; return None if invalid."""
     digits = (value or b"").strip()
     if not digits.isdigit() or len(digits) > MAX_DIGITS:
         return None
@@ -14,7 +13,7 @@
 
 
 def parse_seconds(value: bytes | None) -> float | None:
-    """Return seconds, with or without a fraction, None if it is none."""
+    """Parse non-negative decimal seconds; return None if invalid."""
     whole, dot, fraction = (value or b"").strip().partition(b".")
     if not whole.isdigit() or len(whole) > MAX_DIGITS:
         return None
--- a/burdockdrum/http1/requests.py
+++ b/burdockdrum/http1/requests.py
@@ -1,4 +1,4 @@
-"""A request as it was read, or why it could not be."""
+"""A received request, or the reason for which it was rejected."""
 
 from dataclasses import dataclass
 
@@ -8,9 +8,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestHead:
-    """A request whose whole body has arrived.
+    """A request with its complete body.
 
-    ``received_at`` is when its first byte did, on the monotonic clock.
+    ``received_at`` is when its first byte arrived, by the monotonic clock.
     """
 
     method: bytes
@@ -30,20 +30,20 @@
 
     @property
     def path(self) -> bytes:
-        """Return the target without its query."""
+        """The target without its query."""
         return self.target.partition(b"?")[0]
 
     @property
     def host(self) -> str:
-        """Return the name of the host without its port, in lower case."""
+        """The host name without its port, in lower case."""
         value = (self.find(b"host") or b"").decode("latin-1").lower()
         name, colon, port = value.rpartition(":")
         return name if colon and port.isdigit() else value
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Fault:
-    """A request that can't be read, and the status that says so."""
+class RejectedRequest:
+    """The error response to a request that is malformed or over a limit."""
 
     status: int
     reason: str
--- a/burdockdrum/http1/server.py
+++ b/burdockdrum/http1/server.py
@@ -1,4 +1,4 @@
-"""One connection of a caller: its requests, one after the other."""
+"""A server connection, which serves its requests in order."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -14,56 +14,56 @@
 from burdockdrum.http1.heads import find_header
 from burdockdrum.http1.heads import Headers
 from burdockdrum.http1.numbers import parse_count
-from burdockdrum.http1.requests import Fault
+from burdockdrum.http1.requests import RejectedRequest
 from burdockdrum.http1.requests import RequestHead
-from burdockdrum.http1.sockets import watch_peer
+from burdockdrum.http1.sockets import enable_keepalive
 
-MAX_WAITING_REQUESTS = 2
-# How much of an answer waits in memory for a caller that reads slowly.
-WRITE_HIGH_WATER = 64 * 1024
+MAX_PIPELINED_REQUESTS = 2
+# Limits how much of a response is buffered for a slow reader.
+WRITE_HIGH_WATER_BYTES = 64 * 1024
 _LAST_CHUNK = b"0\r\n\r\n"
 
 
-class ListenerFace(Protocol):
-    """What a connection asks of its listener."""
+class ListenerProtocol(Protocol):
+    """The interface of a listener that its connections use."""
 
     draining: bool
 
     @property
     def header_bytes(self) -> int:
-        """Return the largest head taken."""
+        """The maximum size of a request's head."""
         ...
 
     @property
     def body_bytes(self) -> int:
-        """Return the largest body taken."""
+        """The maximum size of a request's body."""
         ...
 
     @property
     def header_seconds(self) -> float:
-        """Return how long a head, or a body, may take to arrive."""
+        """The timeout for receiving a complete request."""
         ...
 
     @property
     def idle_seconds(self) -> float:
-        """Return how long a connection may be idle."""
+        """The idle timeout of a connection."""
         ...
 
-    def note_opened(self, connection: "ServerConnection") -> None:
-        """Take note of a connection."""
+    def add_connection(self, connection: "ServerConnection") -> None:
+        """Add an open connection."""
         ...
 
-    def note_closed(self, connection: "ServerConnection") -> None:
-        """Take note of the end of a connection."""
+    def remove_connection(self, connection: "ServerConnection") -> None:
+        """Remove a connection that was closed."""
         ...
 
 
 class Exchange:
-    """A request and the answer to it.
+    """A request and the response to it.
 
-    Either ``answer`` is called once, or ``start``, ``write`` and
-    ``finish``. An exchange that ends without ``finish`` cuts the connection,
-    so that a part of an answer never looks whole.
+    A handler calls either ``answer`` once, or ``start``, ``write`` and
+    ``finish``. Without ``finish`` the connection is closed before the last
+    chunk, so that the caller detects a truncated response.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         self._chunked = False
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         length = (b"content-length", b"%d" % len(body))
         head = self._encode_head(status, [*headers, length])
         self.started = True
@@ -87,23 +87,23 @@
         self.finished = True
 
     def start(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer whose length is not known."""
+        """Send the head of a chunked response."""
         self._chunked = True
         self.started = True
         chunked = (b"transfer-encoding", b"chunked")
         self._connection.write(self._encode_head(status, [*headers, chunked]))
 
     def write(self, part: bytes) -> None:
-        """Send a part of the body."""
+        """Send a chunk of the body."""
         if part:
             self._connection.write(b"%x\r\n%s\r\n" % (len(part), part))
 
     async def drain(self) -> None:
-        """Wait while the caller reads more slowly than it is sent to."""
+        """Wait until the write buffer is below its high-water mark."""
         await self._connection.drain()
 
     def finish(self) -> None:
-        """Send the end of a body whose length was not known."""
+        """Send the last chunk of the body."""
         self._connection.write(_LAST_CHUNK)
         self.finished = True
 
@@ -114,12 +114,12 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """Read requests and have each answered before the next."""
+    """Reads requests and handles each before the next."""
 
     def __init__(
         self,
         *,
-        listener: ListenerFace,
+        listener: ListenerProtocol,
         handle: Callable[[Exchange], Awaitable[None]],
     ) -> None:
         """Create a connection that is not open yet."""
@@ -127,8 +127,8 @@
         self._handle = handle
         self._transport: asyncio.Transport | None = None
         self._task: asyncio.Task[None] | None = None
-        self._waiting: list[RequestHead | Fault] = []
-        self._arrived = asyncio.Event()
+        self._pending: list[RequestHead | RejectedRequest] = []
+        self._pending_added = asyncio.Event()
         self._writable = asyncio.Event()
         self._writable.set()
         self._timer: asyncio.TimerHandle | None = None
@@ -136,17 +136,17 @@
         self._busy = False
         self._paused = False
         self._closing = False
-        self._faulty = False
+        self._is_rejected = False
         self._received_at = 0.0
-        self._begin()
+        self._reset_request()
 
     @property
     def idle(self) -> bool:
-        """Say whether no request is being read or answered."""
-        return not (self._busy or self._waiting or self._received_at)
+        """Whether no request is being received or handled."""
+        return not (self._busy or self._pending or self._received_at)
 
     def will_stay_open(self, request: RequestHead) -> bool:
-        """Say whether another request may follow this one."""
+        """Return whether the connection is kept alive after a request."""
         return (
             request.keep_alive
             and not self._listener.draining
@@ -154,111 +154,112 @@
         )
 
     def write(self, data: bytes) -> None:
-        """Write to the caller, who may have gone."""
+        """Write to the caller; ignored after it has disconnected."""
         if self._transport is not None:
             self._transport.write(data)
 
     async def drain(self) -> None:
-        """Wait until the caller has read enough."""
+        """Wait until the write buffer is below its high-water mark."""
         await self._writable.wait()
 
     def close(self) -> None:
-        """Close once what was written has gone out."""
+        """Close the connection after the write buffer is flushed."""
         self._closing = True
         if self._transport is not None:
             self._transport.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start the connection's task."""
+        """Start the task that handles the connection's requests."""
         # uvloop's transports have the methods but not the base class.
         self._transport = cast(asyncio.Transport, transport)
-        self._transport.set_write_buffer_limits(high=WRITE_HIGH_WATER)
-        watch_peer(transport)
-        self._listener.note_opened(self)
+        self._transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
+        enable_keepalive(transport)
+        self._listener.add_connection(self)
         self._task = asyncio.create_task(self._run())
-        self._arm(self._listener.idle_seconds)
+        self._start_timer(self._listener.idle_seconds)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End what still runs for a caller that has gone."""
+        """Cancel the handler, as the caller has disconnected."""
         if self._timer is not None:
             self._timer.cancel()
         self._writable.set()
-        self._listener.note_closed(self)
+        self._listener.remove_connection(self)
         if self._task is not None:
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """Take note that the caller reads slowly."""
+        """Block ``drain``, as the write buffer is full."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Take note that the caller has caught up."""
+        """Release ``drain``, as the write buffer has emptied."""
         self._writable.set()
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes from the caller."""
-        if self._faulty or self._closing:
+        """Parse received bytes and enforce the limit on the head."""
+        if self._is_rejected or self._closing:
             return
         if not self._received_at:
             self._received_at = time.monotonic()
             if not self._busy:
-                self._arm(self._listener.header_seconds)
+                self._start_timer(self._listener.header_seconds)
         if not self._head_complete:
             self._head_size += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._take_fault(400, "an upgrade is not supported")
+            self._reject(400, "an upgrade is not supported")
         except httptools.HttpParserError as error:
-            self._take_fault(400, f"not HTTP/1.1: {error}")
+            self._reject(400, f"not HTTP/1.1: {error}")
         too_large = self._head_size > 2 * self._listener.header_bytes
         if not self._head_complete and too_large:
-            self._take_fault(431, "the head is too large")
-        if len(self._waiting) >= MAX_WAITING_REQUESTS and not self._paused:
+            self._reject(431, "the head is too large")
+        if len(self._pending) >= MAX_PIPELINED_REQUESTS and not self._paused:
             assert self._transport is not None
             self._paused = True
             self._transport.pause_reading()
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append a part of the target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Add a header of the request."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Check the head before the body is read."""
+        """Check the limits before the body is read."""
         self._head_complete = True
         head = sum(len(name) + len(value) + 4 for name, value in self._headers)
         if head + len(self._target) > self._listener.header_bytes:
-            self._take_fault(431, "the head is too large")
+            self._reject(431, "the head is too large")
             return
-        # The parser has refused what is no number; a longer one is too much.
+        # The parser rejects a length that is not a number; parse_count
+        # returns None for one with too many digits.
         length = find_header(self._headers, b"content-length") or b"0"
         size = parse_count(length)
         if size is None or size > self._listener.body_bytes:
-            self._take_fault(413, "the body is too large")
+            self._reject(413, "the body is too large")
             return
         expect = find_header(self._headers, b"expect")
         if expect is not None and expect.lower() == b"100-continue":
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
-        if self._faulty:
+        """Append a part of the body."""
+        if self._is_rejected:
             return
         self._body_size += len(body)
         if self._body_size > self._listener.body_bytes:
-            self._take_fault(413, "the body is too large")
+            self._reject(413, "the body is too large")
             return
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Hand the request over."""
-        if self._faulty:
+        """Queue the complete request for the handler."""
+        if self._is_rejected:
             return
-        self._waiting.append(
+        self._pending.append(
             RequestHead(
                 method=self._parser.get_method(),
                 target=self._target,
@@ -268,10 +269,10 @@
                 received_at=self._received_at,
             )
         )
-        self._begin()
-        self._arrived.set()
+        self._reset_request()
+        self._pending_added.set()
 
-    def _begin(self) -> None:
+    def _reset_request(self) -> None:
         self._target = b""
         self._headers: Headers = []
         self._body: list[bytes] = []
@@ -280,88 +281,87 @@
         self._head_complete = False
         self._received_at = 0.0
 
-    def _take_fault(self, status: int, reason: str) -> None:
-        if not self._faulty:
-            self._faulty = True
-            self._waiting.append(Fault(status=status, reason=reason))
-            self._arrived.set()
+    def _reject(self, status: int, reason: str) -> None:
+        if not self._is_rejected:
+            self._is_rejected = True
+            self._pending.append(RejectedRequest(status=status, reason=reason))
+            self._pending_added.set()
 
     async def _run(self) -> None:
         while not self._closing:
-            while not self._waiting:
-                self._arrived.clear()
-                await self._arrived.wait()
-            received = self._waiting.pop(0)
+            while not self._pending:
+                self._pending_added.clear()
+                await self._pending_added.wait()
+            received = self._pending.pop(0)
             self._busy = True
-            self._disarm()
-            if isinstance(received, Fault):
-                self._refuse(received)
+            self._stop_timer()
+            if isinstance(received, RejectedRequest):
+                self._send_rejection(received)
                 return
             await self._serve(received)
             self._busy = False
-            self._resume()
+            self._await_next_request()
 
     async def _serve(self, request: RequestHead) -> None:
         exchange = Exchange(request=request, connection=self)
         try:
             await self._handle(exchange)
         except Exception as error:
-            # A fault of this program must cost one request only.
-            logger.opt(exception=error).error("answering a request failed")
+            # An unhandled exception must not end the connection's task.
+            logger.opt(exception=error).error("the request handler failed")
             if not exchange.started:
                 exchange.answer(500, [], b"")
         if not exchange.finished:
-            self._cut()
+            self._close_incomplete()
             return
         await self.drain()
         if not self.will_stay_open(request):
             self.close()
 
-    def _resume(self) -> None:
+    def _await_next_request(self) -> None:
         if self._paused and self._transport is not None:
             self._paused = False
             self._transport.resume_reading()
-        waits_for_more = self._received_at > 0
+        has_partial_request = self._received_at > 0
         seconds = (
             self._listener.header_seconds
-            if waits_for_more
+            if has_partial_request
             else self._listener.idle_seconds
         )
-        self._arm(seconds)
+        self._start_timer(seconds)
 
-    def _refuse(self, fault: Fault) -> None:
-        body = fault.reason.encode()
+    def _send_rejection(self, rejected: RejectedRequest) -> None:
+        body = rejected.reason.encode()
         headers = [
             (b"connection", b"close"),
             (b"content-type", b"text/plain"),
             (b"content-length", b"%d" % len(body)),
         ]
-        self.write(encode_response(fault.status, headers) + body)
+        self.write(encode_response(rejected.status, headers) + body)
         self.close()
 
-    def _cut(self) -> None:
-        """End the connection where an answer has broken off.
+    def _close_incomplete(self) -> None:
+        """Close the connection without sending the last chunk.
 
-        What was sent reaches the caller; without the last chunk it does not
-        look whole.
+        The caller receives what was sent and detects the truncation.
         """
         self.close()
 
-    def _arm(self, seconds: float) -> None:
-        self._disarm()
+    def _start_timer(self, seconds: float) -> None:
+        self._stop_timer()
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(seconds, self._time_out)
+        self._timer = loop.call_later(seconds, self._on_timeout)
 
-    def _disarm(self) -> None:
+    def _stop_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _time_out(self) -> None:
+    def _on_timeout(self) -> None:
         self._timer = None
-        if self._busy or self._waiting:
+        if self._busy or self._pending:
             return
         if self._received_at:
-            self._take_fault(408, "the request did not arrive in time")
+            self._reject(408, "the request did not arrive in time")
             return
         self.close()
--- a/burdockdrum/http1/sockets.py
+++ b/burdockdrum/http1/sockets.py
@@ -1,30 +1,30 @@
-"""Options that make a silent peer noticed.
+"""TCP keepalive options that detect an unreachable peer.
 
-A peer that loses power, or a path that drops packets, leaves a connection open
-for minutes. The kernel's probes end it within ``SILENT_SECONDS``, and no
-answer that is merely slow is cut: a live peer's kernel answers them.
+Without them a connection whose peer loses power, or whose packets are
+dropped, stays open for minutes. A slow response does not end a connection,
+as the peer's kernel acknowledges the probes.
 """
 
 import asyncio
 import socket
 
-# Below the 5 s after which others count on this VM to have noticed.
-SILENT_SECONDS = 4
-_IDLE_SECONDS = 2
-_PROBE_SECONDS = 1
-_PROBES = 2
+# Below the 5 s within which other VMs expect this one to have detected it.
+UNACKNOWLEDGED_TIMEOUT_SECONDS = 4
+_KEEPALIVE_IDLE_SECONDS = 2
+_KEEPALIVE_INTERVAL_SECONDS = 1
+_KEEPALIVE_PROBES = 2
 
 
-def watch_peer(transport: asyncio.BaseTransport) -> None:
-    """Have the kernel end a connection whose peer is silent."""
+def enable_keepalive(transport: asyncio.BaseTransport) -> None:
+    """Make the kernel close a connection whose peer is unreachable."""
     raw = transport.get_extra_info("socket")
     if raw is None:
         return
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
-        (socket.TCP_KEEPIDLE, _IDLE_SECONDS),
-        (socket.TCP_KEEPINTVL, _PROBE_SECONDS),
-        (socket.TCP_KEEPCNT, _PROBES),
-        (socket.TCP_USER_TIMEOUT, SILENT_SECONDS * 1000),
+        (socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_SECONDS),
+        (socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_SECONDS),
+        (socket.TCP_KEEPCNT, _KEEPALIVE_PROBES),
+        (socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_SECONDS * 1000),
     ):
         raw.setsockopt(socket.IPPROTO_TCP, option, value)
--- a/tests/http1/__init__.py
+++ b/tests/http1/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of HTTP/1.1 without a framework."""
+"""Tests of the HTTP/1.1 connections."""
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of connections to endpoints that answer wrongly."""
+"""Tests of client connections, with stray and malformed responses."""
 
 import asyncio
 import unittest
@@ -11,15 +11,15 @@
 from tests.http1.wire import read_request
 from tests.http1.wire import ScriptedServer
 
-OURS = b"HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nok"
-OTHER = b"HTTP/1.1 200 OK\r\nX-Id: 9\r\nContent-Length: 3\r\n\r\nbad"
+RESPONSE = b"HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nok"
+STRAY_RESPONSE = b"HTTP/1.1 200 OK\r\nX-Id: 9\r\nContent-Length: 3\r\n\r\nbad"
 
 
 class ClientTest(unittest.IsolatedAsyncioTestCase):
-    """One request on a connection to a scripted endpoint."""
+    """Requests to an endpoint that sends scripted responses."""
 
     async def serve(self, *parts, close=False):
-        """Answer each request with bytes, a pause of 20 ms between."""
+        """Send the parts after each request, 20 ms apart."""
 
         async def script(reader, writer):
             while True:
@@ -51,57 +51,56 @@
             self.pool.give_back(address, connection)
         return response, body
 
-    async def test_connection_is_used_again(self):
-        address = await self.serve(OURS)
+    async def test_connection_is_reused(self):
+        address = await self.serve(RESPONSE)
         for _ in range(3):
             self.assertEqual(b"ok", (await self.call(address))[1])
         self.assertEqual(1, self.server.connections)
 
-    async def test_answer_of_another_request_is_skipped(self):
-        # An extra answer arrives where the next one is expected: it reaches
-        # nobody, and the right one behind it is taken.
-        address = await self.serve(OTHER + OURS)
+    async def test_response_with_the_id_of_another_request_is_skipped(self):
+        # A stray response must not be returned for the current request.
+        address = await self.serve(STRAY_RESPONSE + RESPONSE)
         self.assertEqual(b"ok", (await self.call(address))[1])
-        address = await self.serve(OTHER, OURS)
+        address = await self.serve(STRAY_RESPONSE, RESPONSE)
         self.assertEqual(b"ok", (await self.call(address))[1])
 
-    async def test_bytes_after_an_answer_end_the_connection(self):
-        # What follows a whole answer belongs to no request. The answer
-        # counts; the connection is not used again.
-        for extra in (b"junk", OTHER, b"\x00\xff"):
+    async def test_connection_with_bytes_after_a_response_is_not_reused(self):
+        # The response is valid, but the bytes after it would be parsed as
+        # the response to the next request.
+        for extra in (b"junk", STRAY_RESPONSE, b"\x00\xff"):
             with self.subTest(extra=extra):
-                address = await self.serve(OURS + extra)
+                address = await self.serve(RESPONSE + extra)
                 self.assertEqual(b"ok", (await self.call(address))[1])
                 self.assertEqual(b"ok", (await self.call(address))[1])
                 self.assertEqual(2, self.server.connections)
 
-    async def test_bytes_on_an_idle_connection_end_it(self):
-        address = await self.serve(OURS, b"junk")
+    async def test_idle_connection_that_receives_bytes_is_closed(self):
+        address = await self.serve(RESPONSE, b"junk")
         await self.call(address)
         await asyncio.sleep(0.1)
         await self.call(address)
         self.assertEqual(2, self.server.connections)
 
-    async def test_answer_that_is_cut_is_lost(self):
-        cut = (
+    async def test_truncated_response_raises(self):
+        truncated = (
             b"HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 9\r\n\r\npart",
             b"HTTP/1.1 200 OK\r\nX-Id: 1\r\nTransfer-Encoding: chunked\r\n"
             b"\r\n4\r\npart\r\n",
             b"HTTP/1.1 200 OK\r\nX-I",
             b"no answer at all\r\n\r\n",
         )
-        for data in cut:
+        for data in truncated:
             with self.subTest(data=data):
                 address = await self.serve(data, close=True)
                 with self.assertRaises(ResponseLost):
                     await self.call(address)
 
-    async def test_unframed_answer_ends_with_its_connection(self):
+    async def test_unframed_response_ends_at_the_end_of_the_connection(self):
         data = b"HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\nbody"
         address = await self.serve(data, close=True)
         self.assertEqual(b"body", (await self.call(address))[1])
 
-    async def test_unframed_answer_that_is_reset_is_lost(self):
+    async def test_unframed_response_with_a_reset_raises(self):
         async def script(reader, writer):
             await read_request(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\npart")
@@ -112,7 +111,7 @@
         address = await server.open()
         self.addAsyncCleanup(server.close)
         self.pool = ConnectionPool(id_header=b"x-id")
-        # A reset needs bytes that the peer never read.
+        # Unread bytes at the peer make its close a reset.
         connection = await self.pool.take(address, timeout=1)
         connection.send(
             encode_request(b"GET", b"/", [(b"host", b"x")]) + b"x" * 4_000_000,
@@ -122,33 +121,33 @@
             while await connection.read_part() is not None:
                 pass
 
-    async def test_interim_response_is_passed_over(self):
-        address = await self.serve(b"HTTP/1.1 100 Continue\r\n\r\n" + OURS)
+    async def test_interim_response_is_skipped(self):
+        address = await self.serve(b"HTTP/1.1 100 Continue\r\n\r\n" + RESPONSE)
         self.assertEqual(b"ok", (await self.call(address))[1])
 
-    async def test_named_idle_limit_is_kept_below(self):
-        # The endpoint closes idle connections after a second and says so.
-        # A request that crosses its close would be lost.
-        named = OURS.replace(b"X-Id", b"Keep-Alive: timeout=1\r\nX-Id")
-        address = await self.serve(named)
+    async def test_connection_is_reused_only_within_keep_alive_timeout(self):
+        # A request sent while the endpoint closes the connection is lost.
+        with_timeout = RESPONSE.replace(
+            b"X-Id", b"Keep-Alive: timeout=1\r\nX-Id"
+        )
+        address = await self.serve(with_timeout)
         await self.call(address)
         await asyncio.sleep(0.8)
         await self.call(address)
         self.assertEqual(2, self.server.connections)
 
-    async def test_answer_before_the_body_is_out_spoils_nothing(self):
-        # The endpoint answers a long request before it has read it, keeps
-        # the connection and reads on later. It must find the rest of that
-        # body there, and the next request behind it.
-        seen = []
+    async def test_response_before_the_body_is_sent_keeps_the_framing(self):
+        # The endpoint responds before it has read the body. The rest of the
+        # body must still be sent before the next request.
+        received = []
 
         async def script(reader, writer):
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
-                writer.write(OURS)
+                writer.write(RESPONSE)
                 await asyncio.sleep(0.05)
                 length = int(header(head, b"content-length"))
-                seen.append(await reader.readexactly(length))
+                received.append(await reader.readexactly(length))
 
         server = ScriptedServer(script)
         address = await server.open()
@@ -165,11 +164,11 @@
                 pass
             self.pool.give_back(address, connection)
         await asyncio.sleep(0.4)
-        self.assertEqual(bodies, seen)
+        self.assertEqual(bodies, received)
         self.assertEqual(1, server.connections)
 
-    async def test_closed_port_is_no_connection(self):
-        address = await self.serve(OURS)
+    async def test_closed_port_raises(self):
+        address = await self.serve(RESPONSE)
         await self.server.close()
         with self.assertRaises(NotConnected):
             await self.call(address)
--- a/tests/http1/test_numbers.py
+++ b/tests/http1/test_numbers.py
@@ -1,4 +1,4 @@
-"""Tests of numbers that anybody may have written into a header."""
+"""Tests of parsing numbers in untrusted headers."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class NumbersTest(unittest.TestCase):
-    """What is no number counts as absent, and nothing raises."""
+    """Invalid numbers give None and raise nothing."""
 
     def test_counts(self):
         for value, wanted in (
@@ -26,8 +26,8 @@
             self.assertEqual(wanted, parse_count(value))
 
     def test_seconds(self):
-        # "inf" and "nan" are numbers to Python. Passed on to a caller as
-        # the time to come back, they would keep it away for good.
+        # float() accepts "inf" and "nan"; forwarded as Retry-After they
+        # would stop a caller from ever retrying.
         for value, wanted in (
             (b"2", 2.0),
             (b"0.25", 0.25),
@@ -42,6 +42,6 @@
             self.assertEqual(wanted, parse_seconds(value))
 
     @given(strategies.binary(max_size=40))
-    def test_no_bytes_raise(self, value):
+    def test_arbitrary_bytes_do_not_raise(self, value):
         parse_count(value)
         parse_seconds(value)
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of the listener with requests that are sent by hand."""
+"""Tests of the listener with raw requests."""
 
 import asyncio
 import unittest
@@ -16,7 +16,7 @@
 
 
 class ServerTest(ListenerCase, unittest.IsolatedAsyncioTestCase):
-    """Requests as callers send them, right and wrong."""
+    """Valid and malformed requests."""
 
     async def asyncSetUp(self):
         self.handled = 0
@@ -26,12 +26,12 @@
             await echo(exchange)
 
         await self.open(count)
-        self.addAsyncCleanup(self.listener_closed)
+        self.addAsyncCleanup(self.close_listener)
 
-    async def listener_closed(self):
+    async def close_listener(self):
         await self.listener.close()
 
-    async def test_connection_serves_one_request_after_the_other(self):
+    async def test_pipelined_requests_are_served_in_order(self):
         answer = await self.send(
             b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
             b"POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n"
@@ -39,16 +39,15 @@
         )
         self.assertLess(answer.index(b"GET /a "), answer.index(b"POST /b hi"))
 
-    async def test_body_in_chunks_is_joined(self):
+    async def test_chunked_body_is_joined(self):
         answer = await self.send(
             b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n"
             b"Connection: close\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
         )
         self.assertTrue(answer.endswith(b"POST / abc"))
 
-    async def test_requests_that_hide_another_are_refused(self):
-        # A request whose end two parsers see in different places smuggles
-        # the rest past the first of them. None of these may be handled.
+    async def test_request_smuggling_is_rejected(self):
+        # Two parsers would disagree about where these requests end.
         smuggled = (
             b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n"
             b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -70,9 +69,7 @@
                 self.assertTrue(answer.startswith(b"HTTP/1.1 400 "))
         self.assertEqual(0, self.handled)
 
-    async def test_limits_are_those_in_force(self):
-        # An operator lowers the limits while connections are open: the next
-        # request is measured by the new ones.
+    async def test_changed_limits_apply_to_open_connections(self):
         reader, writer = await self.connect()
         large = b"GET / HTTP/1.1\r\nHost: x\r\nX: " + b"y" * 900 + b"\r\n\r\n"
         writer.write(large)
@@ -92,24 +89,24 @@
         )
         self.assertIn(b"413 ", answer)
 
-    async def test_half_a_head_gets_an_answer_in_time(self):
+    async def test_incomplete_head_times_out_with_a_response(self):
         self.limits = Limits(header_seconds=0.1)
         answer = await self.send(b"GET / HTTP/1.1\r\nHost:")
         self.assertIn(b"408 ", answer)
 
-    async def test_idle_connection_stays_for_its_whole_time(self):
+    async def test_idle_timeout_restarts_after_a_request(self):
         self.limits = Limits(idle_seconds=0.4)
         reader, writer = await self.connect()
         await asyncio.sleep(0.3)
         writer.write(b"GET /late HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assertIn(b"200 OK", await reader.readuntil(b"\r\n\r\n"))
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         await reader.read()
-        self.assertGreater(loop.time() - began, 0.3)
+        self.assertGreater(loop.time() - started_at, 0.3)
         writer.close()
 
-    async def test_expectation_is_met_before_the_body(self):
+    async def test_expect_continue_is_answered_before_the_body(self):
         reader, writer = await self.connect()
         writer.write(
             b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n"
@@ -120,9 +117,9 @@
         self.assertIn(b"200 OK", await reader.readuntil(b"\r\n\r\n"))
         writer.close()
 
-    async def test_drain_closes_after_the_answer(self):
-        # A caller with an open connection sends one more request to an
-        # entry that is stopping: it gets its answer, and is told to go.
+    async def test_draining_listener_closes_after_the_response(self):
+        # A request on an open connection is served; the response tells the
+        # caller to close.
         reader, writer = await self.connect()
         writer.write(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
         await reader.readuntil(b"\r\n\r\nGET / ")
@@ -135,14 +132,13 @@
 
 
 class HandlerTest(ListenerCase, unittest.IsolatedAsyncioTestCase):
-    """What becomes of a caller whose request is being handled."""
+    """Disconnects, exceptions and slow readers while a handler runs."""
 
     async def asyncTearDown(self):
         await self.listener.close()
 
-    async def test_handler_ends_when_its_caller_goes(self):
-        # The caller hangs up while an endpoint works for it: the work must
-        # end at once, not when the answer can't be written.
+    async def test_handler_is_cancelled_when_the_caller_disconnects(self):
+        # Without this an endpoint works on until the response is written.
         ended = asyncio.Event()
 
         async def wait(exchange):
@@ -159,19 +155,18 @@
         async with asyncio.timeout(0.5):
             await ended.wait()
 
-    async def test_part_of_an_answer_never_looks_whole(self):
-        # The answer breaks off after its first part: the caller has the
-        # part, sees no last chunk, and the connection ends.
-        async def cut(exchange):
+    async def test_incomplete_response_has_no_last_chunk(self):
+        # A caller must be able to detect that a response is truncated.
+        async def truncate(exchange):
             exchange.start(200, [])
             exchange.write(b"part")
 
-        await self.open(cut)
+        await self.open(truncate)
         answer = await self.send(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assertIn(b"part", answer)
         self.assertNotIn(b"\r\n0\r\n\r\n", answer)
 
-    async def test_fault_of_the_program_costs_one_request(self):
+    async def test_handler_exception_fails_only_its_request(self):
         async def fail(exchange):
             if exchange.request.target == b"/bad":
                 raise ValueError("a fault")
@@ -187,9 +182,8 @@
         self.assertTrue(answer.startswith(b"HTTP/1.1 500 "))
         self.assertIn(b"GET /good", answer)
 
-    async def test_slow_reader_holds_bounded_memory(self):
-        # A caller stops reading a long answer: the handler waits, and what
-        # waits for the caller stays small.
+    async def test_write_buffer_for_a_slow_reader_is_bounded(self):
+        # The handler must wait when the caller stops reading.
         written = 0
 
         async def stream(exchange):
--- a/tests/http1/wire.py
+++ b/tests/http1/wire.py
@@ -1,4 +1,4 @@
-"""Speak HTTP by hand: what a client library would refuse to send."""
+"""Raw HTTP for tests, to send what client libraries reject."""
 
 import asyncio
 
@@ -7,10 +7,10 @@
 
 
 class ListenerCase:
-    """A listener on a free port, and raw connections to it."""
+    """A mixin with a listener on a free port and raw connections to it."""
 
     async def open(self, handle, **limits):
-        """Open a listener whose limits can be replaced."""
+        """Open a listener that reads its limits from ``self.limits``."""
         self.limits = Limits(**limits)
         self.listener = Listener(
             address="127.0.0.1:0",
@@ -26,7 +26,7 @@
         return await asyncio.open_connection(host, int(port))
 
     async def send(self, data):
-        """Send bytes on a connection of their own, return the answer."""
+        """Send bytes on a new connection and return the response."""
         reader, writer = await self.connect()
         writer.write(data)
         async with asyncio.timeout(5):
@@ -36,10 +36,10 @@
 
 
 class ScriptedServer:
-    """An endpoint that sends what it is told to, right or wrong."""
+    """An endpoint that sends scripted bytes."""
 
     def __init__(self, script):
-        """Run ``script(reader, writer)`` for each connection."""
+        """Create a server that runs ``script(reader, writer)``."""
         self.script = script
         self.connections = 0
         self.writers = []
@@ -52,7 +52,7 @@
         return self.address
 
     async def close(self):
-        """Stop listening and drop the connections."""
+        """Stop listening and abort the connections."""
         self.server.close()
         for writer in self.writers:
             writer.transport.abort()
@@ -67,12 +67,12 @@
             asyncio.IncompleteReadError,
             asyncio.CancelledError,
         ):
-            # The caller went, or the test is over.
+            # The client disconnected or the test has ended.
             writer.transport.abort()
 
 
 async def read_request(reader):
-    """Return the head and the body of a request as it was sent."""
+    """Return the raw head and body of a request."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = 0
     for line in head.split(b"\r\n"):
@@ -83,7 +83,7 @@
 
 
 def header(head, name):
-    """Return a header of a raw head."""
+    """Return the value of a header in a raw head."""
     for line in head.split(b"\r\n")[1:]:
         known, _, value = line.partition(b":")
         if known.lower() == name:
