--- a/burdockdrum/resources/__init__.py
+++ b/burdockdrum/resources/__init__.py
@@ -1,6 +1,9 @@
-"""The declarative resources that operators write."""
+"""The declarative resources that operators manage.
+
+Defines the kinds of resource, their validation, and the deterministic store
+that the replicated log applies changes to.
+"""
 
-from burdockdrum.resources.answers import KEPT_ANSWERS
 from burdockdrum.resources.configuration import Configuration
 from burdockdrum.resources.errors import ResourceError
 from burdockdrum.resources.kinds import Resource
@@ -8,6 +11,7 @@
 from burdockdrum.resources.kinds import Revised
 from burdockdrum.resources.kinds import Spec
 from burdockdrum.resources.kinds import SPECS_BY_KIND
+from burdockdrum.resources.recorded_results import MAX_RECORDED_RESULTS
 from burdockdrum.resources.route_validation import check_routes
 from burdockdrum.resources.routes import Backend
 from burdockdrum.resources.routes import Engine
@@ -55,7 +59,7 @@
     "EvacuationSpec",
     "hash_token",
     "INVALID",
-    "KEPT_ANSWERS",
+    "MAX_RECORDED_RESULTS",
     "ListenerLimits",
     "OperatorSpec",
     "parse_spec",
--- a/burdockdrum/resources/digest.py
+++ b/burdockdrum/resources/digest.py
@@ -1,9 +1,9 @@
-"""A digest of resources by which two VMs notice that theirs differ.
+"""An incremental digest that detects differing configurations of two VMs.
 
-The sum of one hash a resource does not depend on their order and follows a
-change in constant time (Bellare and Micciancio, "A New Paradigm for
-Collision-Free Hashing: Incrementality at Reduced Cost", 1997). It guards
-against faults, not against an adversary: peers are told apart by their seal.
+The sum of a hash of each resource is independent of their order and is
+updated in constant time (Bellare and Micciancio, "A New Paradigm for
+Collision-Free Hashing: Incrementality at Reduced Cost", 1997). It detects
+faults, not attacks: messages of peers are authenticated by their seal.
 """
 
 import hashlib
@@ -13,12 +13,12 @@
 from burdockdrum.resources.kinds import Resource
 
 _DIGEST_BYTES = 7
-# Fits the integers of MessagePack.
+# 56 bits fit MessagePack's integers.
 DIGEST_MASK = (1 << (8 * _DIGEST_BYTES)) - 1
 
 
-def digest_of(resource: Resource) -> int:
-    """Return the digest of one resource, version included."""
+def digest_resource(resource: Resource) -> int:
+    """Return the digest of a resource, including its version."""
     encoded = msgspec.msgpack.encode(resource)
     hashed = hashlib.blake2b(encoded, digest_size=_DIGEST_BYTES)
     return int.from_bytes(hashed.digest(), "big")
--- a/burdockdrum/resources/errors.py
+++ b/burdockdrum/resources/errors.py
@@ -1,5 +1,5 @@
-"""The error of a resource that is refused."""
+"""The exception for invalid resources."""
 
 
 class ResourceError(Exception):
-    """A resource was not accepted; the message names the field."""
+    """A resource is invalid; the message names the field."""
--- a/burdockdrum/resources/kinds.py
+++ b/burdockdrum/resources/kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of resource by name, and a resource as accepted."""
+"""The kinds of resource by name, and accepted resources."""
 
 from typing import NamedTuple
 
@@ -40,14 +40,14 @@
 
 
 class ResourceKey(NamedTuple):
-    """What names a resource."""
+    """The kind and name that identify a resource."""
 
     kind: str
     name: str
 
 
 class Resource(msgspec.Struct, frozen=True, kw_only=True):
-    """A resource as accepted.
+    """An accepted resource.
 
     ``version`` is the revision of the configuration that last changed it.
     """
@@ -59,12 +59,12 @@
 
     @property
     def key(self) -> ResourceKey:
-        """Return what names the resource."""
+        """The key that identifies the resource."""
         return ResourceKey(self.kind, self.name)
 
 
 class Revised(msgspec.Struct, frozen=True, kw_only=True):
-    """What one revision changed; ``resource`` is None when deleted."""
+    """The change of one revision; ``resource`` is None for a deletion."""
 
     revision: int
     kind: str
--- a/burdockdrum/resources/route_validation.py
+++ b/burdockdrum/resources/route_validation.py
@@ -1,4 +1,4 @@
-"""Check a route table as a whole before it is accepted."""
+"""Validate a route table."""
 
 from burdockdrum.resources.errors import ResourceError
 from burdockdrum.resources.routes import Backend
@@ -8,9 +8,9 @@
 
 
 def check_routes(spec: RouteTableSpec) -> None:
-    """Check that each route can be served as it is written.
+    """Validate the routes, services, limits and teams of a route table.
 
-    :raises ResourceError: naming the first field that is wrong
+    :raises ResourceError: naming the first invalid field
     """
     names = _check_backends(spec.backends)
     seen: dict[tuple[str, str], str] = {}
@@ -20,7 +20,7 @@
         key = (route.host.lower(), route.path_prefix)
         if key in seen:
             raise ResourceError(
-                f"{field} has the host and prefix of route {seen[key]!r}"
+                f"{field} has the same host and prefix as route {seen[key]!r}"
             )
         seen[key] = route.name
     _check_limits(spec)
@@ -31,7 +31,7 @@
     names: set[str] = set()
     for backend in backends:
         if backend.name in names:
-            raise ResourceError(f"spec.backends: {backend.name!r} is twice")
+            raise ResourceError(f"spec.backends: duplicate {backend.name!r}")
         names.add(backend.name)
     return names
 
--- a/burdockdrum/resources/routes.py
+++ b/burdockdrum/resources/routes.py
@@ -1,8 +1,8 @@
-"""Routes: which requests go to which services, and how.
+"""Routes, which map requests to services.
 
-A route table is one resource, so that a change of many routes takes effect
-as a whole on each VM. Its generation, chosen by the operator, orders the
-tables: the highest one counts.
+The route table is one resource, so that each VM applies a change of many
+routes atomically. Operators number the tables by generation; the highest
+generation is in force.
 """
 
 import msgspec
@@ -13,29 +13,30 @@
 ROUTE_TABLE_NAME = "main"
 
 
-class _Part(
+class _RouteTableStruct(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """The base class of what a route table is made of."""
+    """The base class of the structs in a route table."""
 
 
-class WeightedService(_Part, frozen=True, kw_only=True):
-    """A service that takes a share of a route's requests."""
+class WeightedService(_RouteTableStruct, frozen=True, kw_only=True):
+    """A service that receives a weighted share of a route's requests."""
 
     service: str
     weight: int = 1
 
 
-class Route(_Part, frozen=True, kw_only=True):
+class Route(_RouteTableStruct, frozen=True, kw_only=True):
     """How the requests to one host and path prefix are served.
 
-    ``idempotent`` requests may run more than once. ``streams`` marks
-    answers that are a sequence of numbered events; with ``resumable`` a
-    broken one may go on after the last event. ``attempts`` is the most
-    endpoints that one request may run at. ``timeout_seconds`` bounds the
-    whole request, ``objective_seconds`` is when its first byte is due.
-    ``rank`` 0 is the most urgent. Without ``homes`` any region may serve.
-    A ``public`` route needs no token, whatever teams there are.
+    ``idempotent`` requests may be retried after they were sent. ``streams``
+    marks responses that are a sequence of numbered events; with
+    ``resumable`` an interrupted one may be resumed after the last event.
+    ``attempts`` is the maximum number of endpoints that a request is sent
+    to. ``timeout_seconds`` limits the whole request, ``objective_seconds``
+    is the objective for the time to first byte. ``rank`` 0 is the most
+    urgent. Without ``homes`` any region may serve. A ``public`` route needs
+    no token, even if the table has teams.
     """
 
     name: str
@@ -54,12 +55,13 @@
     public: bool = False
 
 
-class Engine(_Part, frozen=True, kw_only=True):
-    """What one endpoint of a model service holds at most.
+class Engine(_RouteTableStruct, frozen=True, kw_only=True):
+    """The capacity of one endpoint of a model service.
 
-    A token that another endpoint has read takes ``bytes_a_token`` over a
-    link of ``link_megabits`` a second; 0 where none can be fetched. An
-    event of a stream holds ``tokens_an_event``.
+    Fetching a cached prefix from another endpoint transfers
+    ``bytes_a_token`` for each token over a link of ``link_megabits`` per
+    second; both are 0 where prefixes can't be fetched. An event of a
+    stream contains ``tokens_an_event`` tokens.
     """
 
     slots: int
@@ -69,12 +71,12 @@
     tokens_an_event: int = 1
 
 
-class Backend(_Part, frozen=True, kw_only=True):
-    """A service as routes refer to it.
+class Backend(_RouteTableStruct, frozen=True, kw_only=True):
+    """A service that routes refer to.
 
-    An endpoint that is cold takes ``cold_requests_per_second`` from all VMs
-    together; one that has started is cold for ``cold_seconds``.
-    ``max_connections`` is the limit of one endpoint.
+    In slow start, for ``cold_seconds`` after it has started, an endpoint
+    accepts ``cold_requests_per_second`` from all VMs together.
+    ``max_connections`` is the limit for each endpoint.
     """
 
     name: str
@@ -85,8 +87,8 @@
     engine: Engine | None = None
 
 
-class ListenerLimits(_Part, frozen=True, kw_only=True):
-    """What a caller may send, and how long it may take or be idle."""
+class ListenerLimits(_RouteTableStruct, frozen=True, kw_only=True):
+    """Size limits of requests, and timeouts of connections."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -95,10 +97,10 @@
 
 
 class RouteTableSpec(SpecBase, frozen=True, kw_only=True, tag="route_table"):
-    """All routes, the services they name, and the listeners' limits.
+    """All routes, the services they refer to, and the listeners' limits.
 
-    ``teams`` are who may call; None lets everyone call. ``document`` is the
-    text that the table was read from, compressed with zlib, so that
+    Only ``teams`` may send requests; None allows everyone. ``document`` is
+    the text that the table was parsed from, compressed with zlib, so that
     operators read back exactly what they wrote.
     """
 
@@ -111,6 +113,6 @@
 
 
 class EvacuationSpec(SpecBase, frozen=True, kw_only=True, tag="evacuation"):
-    """A data centre, named by the key, whose endpoints get no new work."""
+    """An evacuated data centre; its endpoints receive no new requests."""
 
     reason: str = ""
--- a/burdockdrum/resources/specs.py
+++ b/burdockdrum/resources/specs.py
@@ -1,7 +1,7 @@
-"""The kinds of resource and what an operator may say in each.
+"""The desired state of each kind of resource.
 
-These are ``msgspec.Struct`` rather than data classes because only those
-refuse unknown fields while decoding; they are frozen all the same.
+These are ``msgspec.Struct`` rather than data classes, as only structs can
+reject unknown fields while decoding.
 """
 
 from typing import Literal
@@ -10,10 +10,7 @@
 
 
 class Quota(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Limits that hold over all entry VMs of one data centre.
-
-    ``None`` means no limit of that sort.
-    """
+    """Limits over all entry VMs of one data centre; None means unlimited."""
 
     requests_per_second: float | None = None
     concurrent_requests: int | None = None
@@ -31,7 +28,7 @@
 
 
 class RegionSpec(SpecBase, frozen=True, kw_only=True, tag="region"):
-    """A region: data of clients is kept to the regions they allow."""
+    """A region, the unit of clients' data residency."""
 
     description: str = ""
 
@@ -44,12 +41,12 @@
 
 
 class ServiceSpec(SpecBase, frozen=True, kw_only=True, tag="service"):
-    """A model service, or a plain service that is passed through.
+    """A model service, or a plain service whose requests are only proxied.
 
     ``regions`` may host it. ``engines_check_fencing`` says whether its
-    engines refuse an order with an old fencing number; where they do not,
-    orders wait until the holder before must have stopped. The desired
-    versions, adapters and replicas are brought about by orders.
+    engines reject orders with an outdated fencing token; otherwise orders
+    are delayed until the previous lease holder must have stopped. Orders
+    reconcile the desired version, adapters and replicas.
     """
 
     type: Literal["model", "plain"] = "model"
@@ -71,10 +68,10 @@
 class PriorityClassSpec(
     SpecBase, frozen=True, kw_only=True, tag="priority_class"
 ):
-    """A class of callers.
+    """A priority class of requests.
 
-    Lower ``rank`` is served first. ``worth`` is what one completed request
-    is worth to the client, in any unit that all classes share.
+    A lower ``rank`` is served first. ``worth`` is the value of a completed
+    request to the client, in a unit that all classes share.
     """
 
     rank: int
@@ -83,9 +80,9 @@
 
 
 class ClientSpec(SpecBase, frozen=True, kw_only=True, tag="client"):
-    """A client: its token hashes, the regions its data may be in, limits.
+    """A client: its token hashes, data residency and limits.
 
-    ``home_region`` keeps the claims of its unrepeatable requests.
+    ``home_region`` stores the claims of its unrepeatable requests.
     """
 
     home_region: str
@@ -98,6 +95,6 @@
 
 
 class OperatorSpec(SpecBase, frozen=True, kw_only=True, tag="operator"):
-    """A person or program that may use the operators' API."""
+    """A person or program with access to the operators' API."""
 
     token_hashes: list[str]
--- a/burdockdrum/resources/store.py
+++ b/burdockdrum/resources/store.py
@@ -1,18 +1,18 @@
-"""The state machine that holds the accepted resources."""
+"""The deterministic state machine that stores the accepted resources."""
 
 from collections.abc import Callable
 
 import msgspec
 
-from burdockdrum.resources.answers import digest_change
-from burdockdrum.resources.answers import KeptAnswer
-from burdockdrum.resources.answers import KeptAnswers
 from burdockdrum.resources.configuration import Configuration
 from burdockdrum.resources.errors import ResourceError
 from burdockdrum.resources.kinds import Resource
 from burdockdrum.resources.kinds import ResourceKey
 from burdockdrum.resources.kinds import Revised
 from burdockdrum.resources.kinds import Spec
+from burdockdrum.resources.recorded_results import digest_change
+from burdockdrum.resources.recorded_results import RecordedResult
+from burdockdrum.resources.recorded_results import RecordedResults
 from burdockdrum.resources.route_validation import check_routes
 from burdockdrum.resources.routes import EvacuationSpec
 from burdockdrum.resources.routes import ROUTE_TABLE_NAME
@@ -26,14 +26,14 @@
 CONFLICT = "conflict"
 INVALID = "invalid"
 
-# The route table is one resource: it takes effect as a whole.
-ROUTE_TABLE = ResourceKey("route_table", ROUTE_TABLE_NAME)
+# There is one route table, so that it takes effect atomically.
+ROUTE_TABLE_KEY = ResourceKey("route_table", ROUTE_TABLE_NAME)
 
 
 class Put(msgspec.Struct, frozen=True, kw_only=True, tag="put"):
     """Create or replace a resource.
 
-    ``expected_version`` is 0 for a resource that must not exist yet.
+    ``expected_version`` is 0 to create a resource.
     """
 
     change_id: str
@@ -44,7 +44,7 @@
 
 
 class Delete(msgspec.Struct, frozen=True, kw_only=True, tag="delete"):
-    """Delete a resource of the expected version."""
+    """Delete a resource that has the expected version."""
 
     change_id: str
     kind: str
@@ -53,10 +53,10 @@
 
 
 class ReplaceRoutes(msgspec.Struct, frozen=True, kw_only=True, tag="routes"):
-    """Bring a route table into force unless a later generation is.
+    """Replace the route table if its generation is higher.
 
-    One that is not later than the table in force is acknowledged and
-    changes nothing, so that a resent or overtaken one needs no answer kept.
+    A table whose generation is not higher is acknowledged and ignored, so
+    that resending is idempotent without a recorded result.
     """
 
     spec: RouteTableSpec
@@ -65,7 +65,7 @@
 class SetEvacuation(
     msgspec.Struct, frozen=True, kw_only=True, tag="evacuation"
 ):
-    """Keep new work from a data centre's endpoints, or no longer do so."""
+    """Start or end the evacuation of a data centre."""
 
     data_centre: str
     evacuated: bool
@@ -75,7 +75,7 @@
 
 
 class ChangeResult(msgspec.Struct, frozen=True, kw_only=True):
-    """What became of a change.
+    """The result of a change.
 
     ``code`` is ``accepted``, ``conflict`` or ``invalid``; ``current`` is the
     resource after the change, or the one that the change conflicts with.
@@ -88,28 +88,28 @@
 
 
 class StoreSnapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """All that a store holds, the answers kept included."""
+    """The complete state of a store, including recorded results."""
 
     revision: int
     resources: list[Resource]
-    answers: list[KeptAnswer]
+    answers: list[RecordedResult]
 
 
 class ResourceStore:
-    """The accepted resources, changed by one command at a time.
+    """The accepted resources and the results of recent changes.
 
-    Two stores that are given the same changes are the same: no clock, no
-    random numbers.
+    It is deterministic, as each member of the replicated log applies the
+    same changes: it uses no clock and no random numbers.
     """
 
     def __init__(self) -> None:
         """Create an empty store at revision 0."""
         self.configuration = Configuration()
         self.listeners: list[Callable[[Revised | None], None]] = []
-        self._answers = KeptAnswers()
+        self._results = RecordedResults()
 
     def apply(self, change: Change) -> ChangeResult:
-        """Carry out a change, or return the first answer to it again."""
+        """Apply a change, or return the recorded result if it is resent."""
         match change:
             case ReplaceRoutes(spec=spec):
                 return self._replace_routes(spec)
@@ -119,12 +119,12 @@
                 return self._apply_once(change)
 
     def _apply_once(self, change: Put | Delete) -> ChangeResult:
-        kept = self._answers.find(change.change_id)
-        if kept is not None:
-            return self._answer_again(change, kept)
+        recorded = self._results.find(change.change_id)
+        if recorded is not None:
+            return self._replay_result(change, recorded)
         result = self._apply_new(change)
-        self._answers.keep(
-            KeptAnswer(
+        self._results.add(
+            RecordedResult(
                 change_id=change.change_id,
                 digest=digest_change(change),
                 code=result.code,
@@ -135,20 +135,20 @@
         return result
 
     def snapshot(self) -> StoreSnapshot:
-        """Return all that the store holds."""
+        """Return the complete state."""
         return StoreSnapshot(
             revision=self.configuration.revision,
             resources=list(self.configuration.resources_by_key.values()),
-            answers=self._answers.as_list(),
+            answers=self._results.as_list(),
         )
 
     def restore(self, snapshot: StoreSnapshot) -> None:
-        """Replace all that the store holds."""
+        """Replace the state with that of a snapshot."""
         self.configuration = Configuration.of(
             snapshot.revision, snapshot.resources
         )
-        self._answers = KeptAnswers(snapshot.answers)
-        self._tell(None)
+        self._results = RecordedResults(snapshot.answers)
+        self._notify_listeners(None)
 
     def _replace_routes(self, spec: RouteTableSpec) -> ChangeResult:
         try:
@@ -158,7 +158,7 @@
         current = self.configuration.route_table
         if current is not None and spec.generation <= current.generation:
             return self._acknowledge()
-        return self._revise(ROUTE_TABLE, spec)
+        return self._revise(ROUTE_TABLE_KEY, spec)
 
     def _set_evacuation(self, change: SetEvacuation) -> ChangeResult:
         key = ResourceKey("evacuation", change.data_centre)
@@ -166,28 +166,30 @@
             check_key(key)
         except ResourceError as error:
             return self._refuse(str(error))
-        known = key in self.configuration.resources_by_key
-        if known == change.evacuated:
+        is_evacuated = key in self.configuration.resources_by_key
+        if is_evacuated == change.evacuated:
             return self._acknowledge()
-        return self._revise(key, EvacuationSpec() if not known else None)
+        return self._revise(
+            key, EvacuationSpec() if not is_evacuated else None
+        )
 
     def _acknowledge(self) -> ChangeResult:
         return ChangeResult(
             code=ACCEPTED, revision=self.configuration.revision
         )
 
-    def _answer_again(
-        self, change: Put | Delete, kept: KeptAnswer
+    def _replay_result(
+        self, change: Put | Delete, recorded: RecordedResult
     ) -> ChangeResult:
-        if kept.digest != digest_change(change):
+        if recorded.digest != digest_change(change):
             return self._refuse("change_id was used for another change")
         current = self._find(change)
-        if kept.code == ACCEPTED:
-            current = _make_resource(change, kept.revision)
+        if recorded.code == ACCEPTED:
+            current = _make_resource(change, recorded.revision)
         return ChangeResult(
-            code=kept.code,
-            revision=kept.revision,
-            message=kept.message,
+            code=recorded.code,
+            revision=recorded.revision,
+            message=recorded.message,
             current=current,
         )
 
@@ -243,7 +245,7 @@
             revision=revision, kind=key.kind, name=key.name, resource=resource
         )
         self.configuration = self.configuration.revise([revised])
-        self._tell(revised)
+        self._notify_listeners(revised)
         return self._acknowledge()
 
     def _refuse(self, message: str) -> ChangeResult:
@@ -257,7 +259,7 @@
         key = ResourceKey(change.kind, change.name)
         return self.configuration.resources_by_key.get(key)
 
-    def _tell(self, revised: Revised | None) -> None:
+    def _notify_listeners(self, revised: Revised | None) -> None:
         for listener in self.listeners:
             listener(revised)
 
--- a/burdockdrum/resources/team_validation.py
+++ b/burdockdrum/resources/team_validation.py
@@ -1,6 +1,6 @@
-"""Check the teams of a route table.
+"""Validate the teams of a route table.
 
-No message names a token or its hash.
+Error messages contain no token and no hash of one.
 """
 
 import math
@@ -10,13 +10,13 @@
 from burdockdrum.resources.teams import RouteTeam
 from burdockdrum.resources.tokens import hash_token
 
-_EMPTY_HASH = hash_token("")
+_EMPTY_TOKEN_HASH = hash_token("")
 
 
 def check_teams(teams: list[RouteTeam]) -> None:
-    """Check that each caller belongs to one team, and each limit is one.
+    """Check that names and tokens are unique and rate limits are valid.
 
-    :raises ResourceError: naming the first field that is wrong
+    :raises ResourceError: naming the first invalid field
     """
     names: set[str] = set()
     owners_by_hash: dict[str, str] = {}
@@ -25,7 +25,7 @@
         if not team.name or not team.name.isprintable():
             raise ResourceError(f"{field}.name is empty or not printable")
         if team.name in names:
-            raise ResourceError(f"{field} is there twice")
+            raise ResourceError(f"{field} is a duplicate")
         names.add(team.name)
         _check_tokens(field, team, owners_by_hash)
         if team.limit is not None:
@@ -36,8 +36,10 @@
     field: str, team: RouteTeam, owners_by_hash: dict[str, str]
 ) -> None:
     for index, token_hash in enumerate(team.token_hashes):
-        if token_hash == _EMPTY_HASH:
-            raise ResourceError(f"{field}.token_hashes[{index}] is of nothing")
+        if token_hash == _EMPTY_TOKEN_HASH:
+            raise ResourceError(
+                f"{field}.token_hashes[{index}] is the hash of an empty token"
+            )
         owner = owners_by_hash.setdefault(token_hash, team.name)
         if owner != team.name:
             raise ResourceError(
@@ -50,6 +52,8 @@
     if not 0 < limit.per_second < math.inf:
         raise ResourceError(f"{field}.per_second must be above 0 and finite")
     if not 0 <= limit.burst < math.inf:
-        raise ResourceError(f"{field}.burst must be finite, 0 or above")
+        raise ResourceError(f"{field}.burst must be at least 0 and finite")
     if not 0 <= limit.plain_tokens < math.inf:
-        raise ResourceError(f"{field}.plain_tokens must be finite, 0 or above")
+        raise ResourceError(
+            f"{field}.plain_tokens must be at least 0 and finite"
+        )
--- a/burdockdrum/resources/teams.py
+++ b/burdockdrum/resources/teams.py
@@ -1,4 +1,4 @@
-"""Teams that a route table names: who may call, and how much."""
+"""Teams of a route table, with their tokens and rate limits."""
 
 from typing import Literal
 
@@ -8,10 +8,10 @@
 class RateLimit(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """What a team may use over all VMs together.
+    """A team's rate limit over all VMs together.
 
-    ``per_second`` and ``burst`` are in the unit. A request that does not
-    say how many tokens it needs counts as ``plain_tokens``.
+    ``per_second`` and ``burst`` are in ``unit``. A request that does not
+    declare its number of tokens is charged ``plain_tokens``.
     """
 
     unit: Literal["requests", "tokens"] = "requests"
@@ -23,10 +23,10 @@
 class RouteTeam(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """A team whose clients call by the routes of a table.
+    """A team that may send requests to the routes of a table.
 
-    ``rank`` goes before the rank of a route; None leaves it to the route.
-    Without ``homes`` any region may serve the team.
+    ``rank`` overrides the rank of the route unless it is None. Without
+    ``homes`` any region may serve the team.
     """
 
     name: str
--- a/burdockdrum/resources/tokens.py
+++ b/burdockdrum/resources/tokens.py
@@ -1,13 +1,13 @@
-"""Tokens of callers are kept as hashes only."""
+"""Hashes of bearer tokens; the tokens themselves are not stored."""
 
 import hashlib
 
 
 def hash_token(token: str | bytes) -> str:
-    """Return the hash under which a token is kept, in hexadecimal.
+    """Return the SHA-256 of a token in hexadecimal.
 
-    Tokens are long random strings, so a plain digest can't be searched
-    through as a password's could.
+    Tokens are long random strings, so an unsalted digest is not open to
+    the dictionary attacks that passwords are.
     """
     value = token.encode() if isinstance(token, str) else token
     return hashlib.sha256(value).hexdigest()
--- a/burdockdrum/resources/validation.py
+++ b/burdockdrum/resources/validation.py
@@ -1,4 +1,4 @@
-"""Check a resource before it is accepted."""
+"""Validate a resource and its references to others."""
 
 import re
 from typing import Any
@@ -22,13 +22,13 @@
 from burdockdrum.resources.specs import TeamSpec
 
 _NAME = re.compile(r"[a-z0-9][a-z0-9._-]{0,62}")
-_HASH = re.compile(r"[0-9a-f]{64}")
+_TOKEN_HASH = re.compile(r"[0-9a-f]{64}")
 
 
 def check_key(key: ResourceKey) -> None:
-    """Check the kind and the form of the name.
+    """Check that the kind exists and the name is well formed.
 
-    :raises ResourceError: if either is wrong
+    :raises ResourceError: if either is invalid
     """
     if key.kind not in SPECS_BY_KIND:
         known = ", ".join(sorted(SPECS_BY_KIND))
@@ -41,16 +41,16 @@
 
 
 def check_kind(key: ResourceKey, spec: Spec) -> None:
-    """Check that a spec is of the kind that its key names.
+    """Check that the kind of a spec matches its key.
 
-    :raises ResourceError: if it is not
+    :raises ResourceError: if it does not
     """
     if not isinstance(spec, SPECS_BY_KIND[key.kind]):
         raise ResourceError(f"spec.kind is not {key.kind!r}")
 
 
 def parse_spec(kind: str, fields: dict[str, Any]) -> Spec:
-    """Read the desired state of a resource of a kind.
+    """Parse the desired state of a resource.
 
     :raises ResourceError: naming the first field that is unknown, missing
         or of a wrong type
@@ -69,13 +69,13 @@
 def check_references(
     configuration: Configuration, key: ResourceKey, spec: Spec
 ) -> None:
-    """Check that what a resource refers to exists, and its ranges.
+    """Check that references exist and values are within their ranges.
 
-    :raises ResourceError: naming the field
+    :raises ResourceError: naming the first invalid field
     """
     match spec:
         case DataCentreSpec(region=region):
-            _must_exist(configuration, "spec.region", "region", region)
+            _check_exists(configuration, "spec.region", "region", region)
         case ServiceSpec():
             _check_service(configuration, spec)
         case ClientSpec():
@@ -90,16 +90,16 @@
             _check_hashes(hashes)
             _check_tokens(configuration, key, hashes)
         case RouteTableSpec():
-            _check_table(configuration, key, spec)
+            _check_route_table(configuration, key, spec)
 
 
-def _check_table(
+def _check_route_table(
     configuration: Configuration, key: ResourceKey, spec: RouteTableSpec
 ) -> None:
     current = configuration.route_table
     if key.name != ROUTE_TABLE_NAME:
         raise ResourceError(
-            f"a route table is named {ROUTE_TABLE_NAME!r}: there is one"
+            f"the only route table is named {ROUTE_TABLE_NAME!r}"
         )
     if current is not None and spec.generation <= current.generation:
         raise ResourceError(
@@ -109,19 +109,19 @@
 
 
 def check_unreferenced(configuration: Configuration, key: ResourceKey) -> None:
-    """Check that nothing refers to a resource that is to be deleted.
+    """Check that no resource refers to the one to be deleted.
 
-    :raises ResourceError: naming one resource that does
+    :raises ResourceError: naming a resource that does
     """
     for other in configuration.resources_by_key.values():
-        if key in references(other.spec):
+        if key in find_references(other.spec):
             raise ResourceError(
                 f"{key.kind} {key.name!r} is used by "
                 f"{other.kind} {other.name!r}"
             )
 
 
-def references(spec: Spec) -> set[ResourceKey]:
+def find_references(spec: Spec) -> set[ResourceKey]:
     """Return the keys that a spec refers to."""
     keys: set[ResourceKey] = set()
     match spec:
@@ -146,7 +146,7 @@
         raise ResourceError("spec.regions must name at least one region")
     for index, region in enumerate(spec.regions):
         field = f"spec.regions[{index}]"
-        _must_exist(configuration, field, "region", region)
+        _check_exists(configuration, field, "region", region)
     if spec.min_replicas < 0:
         raise ResourceError("spec.min_replicas must not be negative")
     if spec.max_unavailable < 1:
@@ -158,13 +158,13 @@
         raise ResourceError("spec.residency must name at least one region")
     for index, region in enumerate(spec.residency):
         field = f"spec.residency[{index}]"
-        _must_exist(configuration, field, "region", region)
+        _check_exists(configuration, field, "region", region)
     if spec.home_region not in spec.residency:
         raise ResourceError("spec.home_region is not in spec.residency")
     if spec.team is not None:
-        _must_exist(configuration, "spec.team", "team", spec.team)
+        _check_exists(configuration, "spec.team", "team", spec.team)
     if spec.priority_class is not None:
-        _must_exist(
+        _check_exists(
             configuration,
             "spec.priority_class",
             "priority_class",
@@ -172,7 +172,7 @@
         )
     for index, name in enumerate(spec.priority_classes):
         field = f"spec.priority_classes[{index}]"
-        _must_exist(configuration, field, "priority_class", name)
+        _check_exists(configuration, field, "priority_class", name)
     _check_hashes(spec.token_hashes)
     _check_quota(spec.quota)
 
@@ -187,8 +187,7 @@
 def _check_tokens(
     configuration: Configuration, key: ResourceKey, hashes: list[str]
 ) -> None:
-    # A token that two resources hold would let the one's caller in as the
-    # other.
+    # A shared token would authenticate one client or operator as another.
     for index, value in enumerate(hashes):
         for kind, owners_by_hash in (
             ("client", configuration.client_ids_by_token_hash),
@@ -204,14 +203,14 @@
 
 def _check_hashes(hashes: list[str]) -> None:
     for index, value in enumerate(hashes):
-        if not _HASH.fullmatch(value):
+        if not _TOKEN_HASH.fullmatch(value):
             raise ResourceError(
                 f"spec.token_hashes[{index}] is not a SHA-256 in "
-                "hexadecimal; make one with 'burdockdrum hash-token'"
+                "hexadecimal; create one with 'burdockdrum hash-token'"
             )
 
 
-def _must_exist(
+def _check_exists(
     configuration: Configuration, field: str, kind: str, name: str
 ) -> None:
     if ResourceKey(kind, name) not in configuration.resources_by_key:
--- a/tests/resources/__init__.py
+++ b/tests/resources/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the resources."""
+"""Tests of burdockdrum.resources."""
--- a/tests/resources/test_reference.py
+++ b/tests/resources/test_reference.py
@@ -1,4 +1,4 @@
-"""The reference page names exactly the fields that there are."""
+"""Tests that the reference page documents exactly the existing fields."""
 
 import pathlib
 import re
@@ -12,7 +12,7 @@
 
 
 class ReferenceTest(unittest.TestCase):
-    def test_page_names_every_field_and_its_default(self):
+    def test_page_documents_every_field_and_its_default(self):
         rows = re.findall(
             r"^\| `(\w+\.\w+)` \| (.+?) \|", PAGE.read_text(), re.M
         )
--- a/tests/resources/test_routes.py
+++ b/tests/resources/test_routes.py
@@ -1,4 +1,4 @@
-"""Tests of route tables and evacuations as agreed state."""
+"""Tests of route tables and evacuations in the replicated state."""
 
 import unittest
 
@@ -42,7 +42,7 @@
 
 
 class RouteTableTest(unittest.TestCase):
-    """HARD CASE 16, for a table that is replaced as a whole."""
+    """HARD CASE 16: concurrent, resent and invalid route tables."""
 
     def setUp(self):
         self.store = ResourceStore()
@@ -51,25 +51,24 @@
         spec = make_table(*arguments, **fields)
         return self.store.apply(ReplaceRoutes(spec=spec))
 
-    def test_highest_generation_counts_whatever_the_order(self):
-        # Two operators send tables at once; a copy of the older one arrives
-        # again after the newer. Both are acknowledged, the newer stays.
+    def test_highest_generation_wins_in_any_order(self):
+        # A resent older table must not replace a newer one.
         for generation in (4, 9, 7, 4):
             self.assertEqual(ACCEPTED, self.replace(generation).code)
         self.assertEqual(9, self.store.configuration.route_table.generation)
         self.assertEqual(2, self.store.configuration.revision)
 
-    def test_other_content_under_the_generation_held_changes_nothing(self):
+    def test_different_table_of_the_same_generation_is_ignored(self):
         self.replace(4)
-        held = self.store.configuration
+        before = self.store.configuration
         result = self.replace(4, make_route(host="other"))
         self.assertEqual(ACCEPTED, result.code)
-        self.assertIs(held, self.store.configuration)
+        self.assertIs(before, self.store.configuration)
 
-    def test_invalid_table_is_refused_with_the_field(self):
+    def test_invalid_table_is_rejected_with_the_field(self):
         self.replace(4)
-        held = self.store.configuration
-        wrong = {
+        before = self.store.configuration
+        invalid_routes = {
             "host is empty": make_route(host=""),
             "path_prefix": make_route(path_prefix="/p"),
             "timeout_seconds": make_route(timeout_seconds=0),
@@ -84,18 +83,18 @@
                 services=[WeightedService(service="s", weight=-1)]
             ),
         }
-        for words, route in wrong.items():
-            with self.subTest(words=words):
+        for expected_text, route in invalid_routes.items():
+            with self.subTest(expected_text=expected_text):
                 result = self.replace(5, route)
                 self.assertEqual(INVALID, result.code)
-                self.assertIn(words, result.message)
+                self.assertIn(expected_text, result.message)
         result = self.replace(5, make_route(), make_route(name="twin"))
         self.assertIn("host and prefix", result.message)
         result = self.replace(5, limits=ListenerLimits(idle_seconds=0))
         self.assertIn("idle_seconds", result.message)
-        self.assertIs(held, self.store.configuration)
+        self.assertIs(before, self.store.configuration)
 
-    def test_same_rules_hold_for_a_change_of_one_resource(self):
+    def test_put_of_a_route_table_checks_name_and_generation(self):
         def put(name, generation, version):
             return self.store.apply(
                 Put(
@@ -112,20 +111,19 @@
         self.assertEqual(INVALID, put("main", 3, 1).code)
         self.assertEqual(ACCEPTED, put("main", 4, 1).code)
 
-    def test_change_is_one_revision_for_followers(self):
-        # Each revision is taken up as a whole, so no VM ever serves by half
-        # of a table.
-        told = []
-        self.store.listeners.append(told.append)
+    def test_change_of_many_routes_is_one_revision(self):
+        # A VM applies whole revisions, so it never serves a partial table.
+        revisions = []
+        self.store.listeners.append(revisions.append)
         self.replace(4, make_route(), make_route(name="b", host="b"))
-        (revised,) = told
+        (revised,) = revisions
         self.assertEqual(2, len(revised.resource.spec.routes))
 
 
 class EvacuationTest(unittest.TestCase):
-    """Data centres whose endpoints get no new work."""
+    """Data centres whose endpoints receive no new requests."""
 
-    def test_repeated_orders_are_acknowledged(self):
+    def test_repeated_changes_are_acknowledged(self):
         store = ResourceStore()
         expected = [
             (True, {"a"}),
@@ -141,16 +139,16 @@
                 centres, set(store.configuration.evacuated_data_centres)
             )
 
-    def test_name_that_can_be_none_is_refused(self):
+    def test_invalid_name_is_rejected(self):
         for name in ("", "A B", "x" * 64):
             change = SetEvacuation(data_centre=name, evacuated=True)
             self.assertEqual(INVALID, ResourceStore().apply(change).code)
 
 
 class AgreedTest(unittest.TestCase):
-    """The commands in the log and in its snapshots."""
+    """Route tables and evacuations in the log and its snapshots."""
 
-    def test_log_and_snapshot_keep_both(self):
+    def test_state_survives_the_log_and_a_snapshot(self):
         state = ControlState()
         commands = [
             ReplaceRoutes(spec=make_table(4, document=b"\x00text")),
--- a/tests/resources/test_store.py
+++ b/tests/resources/test_store.py
@@ -1,4 +1,4 @@
-"""Changes under a version, resent changes and what is refused."""
+"""Tests of the resource store: versions, resent and invalid changes."""
 
 import unittest
 from unittest import mock
@@ -7,7 +7,6 @@
 from hypothesis import strategies as st
 import msgspec
 
-from burdockdrum.resources import answers
 from burdockdrum.resources import Change
 from burdockdrum.resources import ChangeResult
 from burdockdrum.resources import Configuration
@@ -15,6 +14,7 @@
 from burdockdrum.resources import hash_token
 from burdockdrum.resources import parse_spec
 from burdockdrum.resources import Put
+from burdockdrum.resources import recorded_results
 from burdockdrum.resources import ResourceError
 from burdockdrum.resources import ResourceStore
 
@@ -36,7 +36,7 @@
 
 
 def copy(store: ResourceStore) -> ResourceStore:
-    """Return the store as a snapshot brings it back."""
+    """Return a store restored from an encoded snapshot."""
     encoded = msgspec.msgpack.encode(store.snapshot())
     other = ResourceStore()
     other.restore(msgspec.msgpack.decode(encoded, type=type(store.snapshot())))
@@ -62,24 +62,22 @@
             **fields,
         }
 
-    def test_one_of_two_changes_under_one_version_wins(self):
-        # Two operators read version 3 and both change it. The first is
-        # accepted; the second gets a conflict with the state that the first
-        # made, and nothing of its change is applied.
+    def test_second_change_of_the_same_version_conflicts(self):
+        # Guards against lost updates: the conflict returns the resource
+        # that the first change made.
         made = self.apply(put("make", "client", "crew", self.client()))
         version = made.revision
         first = self.client(residency=["north"])
-        won = self.apply(put("a", "client", "crew", first, version))
+        accepted = self.apply(put("a", "client", "crew", first, version))
         second = self.client(residency=["north", "south"])
-        lost = put("b", "client", "crew", second, version)
-        result = self.apply(lost, "conflict")
-        self.assertEqual(won.current, result.current)
-        self.assertEqual(won.revision, self.store.configuration.revision)
-
-    def test_resent_change_gets_the_first_answer(self):
-        # The operator's answer was lost and the change is sent again, after
-        # another has changed the resource, and after a snapshot was brought
-        # back. It is answered as at first and not applied again.
+        conflicting = put("b", "client", "crew", second, version)
+        result = self.apply(conflicting, "conflict")
+        self.assertEqual(accepted.current, result.current)
+        self.assertEqual(accepted.revision, self.store.configuration.revision)
+
+    def test_resent_change_gets_the_recorded_result(self):
+        # A change resent after a lost response must not be applied twice,
+        # not even after another change or a restored snapshot.
         change = put("make", "client", "crew", self.client())
         first = self.apply(change)
         narrowed = self.client(residency=["north"])
@@ -91,23 +89,21 @@
             self.assertEqual(after.revision, store.configuration.revision)
 
     def test_resent_conflict_stays_a_conflict(self):
-        # A change that lost is sent again once its version would fit by
-        # chance no more than before: it must not win late.
-        lost = put("late", "region", "north", {"description": "x"}, 9)
-        first = self.apply(lost, "conflict")
-        again = self.apply(lost, "conflict")
+        # A rejected change must not be accepted when it is resent.
+        conflicting = put("late", "region", "north", {"description": "x"}, 9)
+        first = self.apply(conflicting, "conflict")
+        again = self.apply(conflicting, "conflict")
         self.assertEqual(first.revision, again.revision)
 
-    def test_change_id_of_another_change_is_refused(self):
+    def test_reused_change_id_is_rejected(self):
         self.apply(put("id", "region", "east", {}))
         result = self.apply(put("id", "region", "west", {}), "invalid")
         self.assertIn("change_id", result.message)
 
-    def test_answers_are_kept_up_to_the_bound(self):
-        # The bound is the same on every member, also on one that was brought
-        # up from a snapshot half-way. Past it, a resent change is a new one:
-        # its version is old by then, so it conflicts and is not applied.
-        with mock.patch.object(answers, "KEPT_ANSWERS", 3):
+    def test_oldest_results_are_evicted_on_every_member_alike(self):
+        # A member restored from a snapshot must evict the same results. A
+        # change resent after that conflicts, as its version is outdated.
+        with mock.patch.object(recorded_results, "MAX_RECORDED_RESULTS", 3):
             change = put("first", "region", "east", {})
             self.apply(change)
             other = copy(self.store)
@@ -118,9 +114,8 @@
             self.assertEqual(3, len(self.store.snapshot().answers))
             self.apply(change, "conflict")
 
-    def test_deleted_resource_is_made_again_under_a_new_version(self):
-        # An operator who still holds the version from before the deletion
-        # must not change the one that was made after it.
+    def test_recreated_resource_has_a_new_version(self):
+        # A change with the version from before the deletion must conflict.
         version = self.apply(put("a", "region", "east", {})).revision
         self.apply(delete("b", "region", "east", version))
         again = self.apply(put("c", "region", "east", {}))
@@ -128,9 +123,7 @@
         stale = put("d", "region", "east", {"description": "old"}, version)
         self.apply(stale, "conflict")
 
-    def test_refused_change_names_the_field_and_changes_nothing(self):
-        # Each of these is refused with the field's name, and the state is as
-        # before: nothing is half applied.
+    def test_invalid_change_names_the_field_and_changes_nothing(self):
         self.apply(put("crew", "client", "crew", self.client()))
         before = self.store.snapshot()
         crew = self.client
@@ -153,7 +146,7 @@
         self.assertEqual(before.resources, self.store.snapshot().resources)
         self.assertEqual(before.revision, self.store.configuration.revision)
 
-    def test_deletion_of_what_is_used_or_missing_is_refused(self):
+    def test_deletion_of_a_used_or_missing_resource_is_rejected(self):
         crew = self.apply(put("crew", "client", "crew", self.client()))
         north = self.store.configuration.resources_by_key["region", "north"]
         used = delete("a", "region", "north", north.version)
@@ -167,7 +160,7 @@
         with self.assertRaisesRegex(ResourceError, "residencey"):
             parse_spec("client", {**self.client(), "residencey": []})
 
-    def test_spec_of_another_kind_is_refused(self):
+    def test_spec_of_another_kind_is_rejected(self):
         change = Put(
             change_id="x",
             kind="team",
@@ -188,7 +181,7 @@
             max_size=30,
         )
     )
-    def test_digest_follows_every_change(self, steps):
+    def test_incremental_digest_equals_the_full_digest(self, steps):
         store = ResourceStore()
         revisions = []
         store.listeners.append(revisions.append)
