--- a/burdockdrum/settings/__init__.py
+++ b/burdockdrum/settings/__init__.py
@@ -1,4 +1,7 @@
-"""Settings in TOML, checked before a process starts."""
+"""Settings in TOML, validated before a process starts.
+
+Each problem names the key and a way to fix it.
+"""
 
 from burdockdrum.settings.checks import check_settings
 from burdockdrum.settings.loader import load_policy
--- a/burdockdrum/settings/checks.py
+++ b/burdockdrum/settings/checks.py
@@ -1,4 +1,4 @@
-"""Contradictions between settings, each with the way to mend it."""
+"""Validate settings against each other."""
 
 from collections.abc import Iterator
 import ipaddress
@@ -10,13 +10,13 @@
 from burdockdrum.settings.problems import SettingsProblem
 from burdockdrum.settings.values import check_values
 
-_HASH = re.compile(r"[0-9a-f]{64}")
+_TOKEN_HASH = re.compile(r"[0-9a-f]{64}")
 _QUORUM_SIZES = (1, 3, 5)
-_MIN_SECRET = 16
+_MIN_SECRET_LENGTH = 16
 
 
 def check_settings(settings: Settings) -> list[SettingsProblem]:
-    """Return every contradiction found."""
+    """Return all problems found."""
     return [
         *check_values(settings),
         *_check_addresses(settings),
@@ -43,15 +43,15 @@
 
 
 def _check_listeners(settings: Settings) -> Iterator[SettingsProblem]:
-    places = [
+    netlocs = [
         urlsplit(address).netloc
         for address in (settings.listen.control, settings.listen.http)
     ]
-    if places[0] == places[1] and not places[0].endswith(":0"):
+    if netlocs[0] == netlocs[1] and not netlocs[0].endswith(":0"):
         yield SettingsProblem(
             key="listen.http",
-            problem=f"is {places[0]}, as listen.control is",
-            fix="give each listener a port of its own",
+            problem=f"is {netlocs[0]}, the same as listen.control",
+            fix="use a different port for each listener",
         )
 
 
@@ -61,10 +61,10 @@
     parts = urlsplit(address)
     try:
         ipaddress.ip_address(parts.hostname or "")
-        good = parts.scheme == scheme and parts.port is not None
+        is_valid = parts.scheme == scheme and parts.port is not None
     except ValueError:
-        good = False
-    if not good:
+        is_valid = False
+    if not is_valid:
         yield SettingsProblem(
             key=key,
             problem=f"is {address!r}",
@@ -77,14 +77,14 @@
     if (cluster.secret is None) == (cluster.secret_file is None):
         yield SettingsProblem(
             key="cluster",
-            problem="needs one of secret and secret_file",
+            problem="needs exactly one of secret and secret_file",
             fix="set secret_file to a file that all VMs share",
         )
-    if cluster.secret is not None and len(cluster.secret) < _MIN_SECRET:
+    if cluster.secret is not None and len(cluster.secret) < _MIN_SECRET_LENGTH:
         yield SettingsProblem(
             key="cluster.secret",
-            problem=f"has under {_MIN_SECRET} characters",
-            fix="make one with 'burdockdrum make-token'",
+            problem=f"has fewer than {_MIN_SECRET_LENGTH} characters",
+            fix="create one with 'burdockdrum make-token'",
         )
 
 
@@ -108,7 +108,7 @@
         yield SettingsProblem(
             key="listen.control",
             problem=f"is not the address in control.members: {address}",
-            fix="make the two the same",
+            fix="set both to the same address",
         )
 
 
@@ -117,8 +117,8 @@
         yield SettingsProblem(
             key="configuration.residency_lease_seconds",
             problem="is not above 0",
-            fix="set it to the seconds for which a VM that is cut off may "
-            "go by what it last knew",
+            fix="set it to the seconds for which a partitioned VM may use "
+            "the configuration that it last received",
         )
 
 
@@ -129,11 +129,11 @@
     }
     for key, hashes in sections.items():
         for index, value in enumerate(hashes):
-            if not _HASH.fullmatch(value):
+            if not _TOKEN_HASH.fullmatch(value):
                 yield SettingsProblem(
                     key=f"{key}[{index}]",
                     problem="is not a SHA-256 in hexadecimal",
-                    fix="make one with 'burdockdrum hash-token'",
+                    fix="create one with 'burdockdrum hash-token'",
                 )
 
 
@@ -146,7 +146,7 @@
     if not 0 < limits.default_deadline_seconds <= limits.max_deadline_seconds:
         yield SettingsProblem(
             key="limits.default_deadline_seconds",
-            problem="is not above 0 and up to limits.max_deadline_seconds",
+            problem="is not above 0 and at most limits.max_deadline_seconds",
             fix="lower it, or raise limits.max_deadline_seconds",
         )
     if settings.orders.loads_a_minute <= 0:
@@ -162,7 +162,7 @@
 
 
 def check_policy(policy: PolicySettings) -> Iterator[SettingsProblem]:
-    """Find values of the policy that contradict what they stand for."""
+    """Find values of the policy that are out of range."""
     if policy.choices < 1:
         yield SettingsProblem(
             key="policy.choices", problem="is below 1", fix="set 2 or more"
@@ -170,8 +170,8 @@
     if not 0 <= policy.spill_reserve < 1:
         yield SettingsProblem(
             key="policy.spill_reserve",
-            problem="is not a share from 0 to below 1",
-            fix="set 0.1 to keep a tenth of the slots for own callers",
+            problem="is not a fraction from 0 to below 1",
+            fix="set 0.1 to reserve a tenth of the slots for local callers",
         )
     for key in (
         "max_wait_seconds",
@@ -202,12 +202,13 @@
         yield SettingsProblem(
             key="claims.keepers",
             problem=f"names {len(keepers)} VMs",
-            fix="name an odd number: a majority of 2 is both",
+            fix="name an odd number of VMs, as an even one tolerates no more "
+            "failures than one VM fewer",
         )
     own = keepers.get(settings.vm.id)
     if own is not None and own != settings.listen.control:
         yield SettingsProblem(
             key="listen.control",
             problem=f"is not the address in claims.keepers: {own}",
-            fix="make the two the same",
+            fix="set both to the same address",
         )
--- a/burdockdrum/settings/loader.py
+++ b/burdockdrum/settings/loader.py
@@ -1,4 +1,4 @@
-"""Read settings, and name what is wrong with the way to mend it."""
+"""Read settings from TOML and report every problem with a fix."""
 
 import difflib
 import pathlib
@@ -20,7 +20,7 @@
 
 
 class SettingsError(Exception):
-    """A settings file can't be used; ``problems`` says why."""
+    """A settings file is invalid; ``problems`` lists the reasons."""
 
     def __init__(self, problems: list[SettingsProblem]) -> None:
         super().__init__("; ".join(str(problem) for problem in problems))
@@ -28,7 +28,7 @@
 
 
 def load_settings(path: pathlib.Path) -> Settings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     :raises SettingsError: with every problem found
     """
@@ -36,7 +36,7 @@
 
 
 def load_policy(path: pathlib.Path) -> PolicySettings:
-    """Read and check a file that holds the table ``policy`` only.
+    """Read and validate a file that contains only the table ``policy``.
 
     :raises SettingsError: with every problem found
     """
@@ -49,7 +49,7 @@
 
 
 class PolicyFile(msgspec.Struct, forbid_unknown_fields=True):
-    """A file for VMs that are told all else in another way."""
+    """A policy file, for VMs whose other settings come from elsewhere."""
 
     policy: PolicySettings = PolicySettings()
 
@@ -80,7 +80,7 @@
 
 
 def read_settings(text: str) -> Settings:
-    """Read and check settings from TOML.
+    """Parse and validate settings from TOML.
 
     :raises SettingsError: with every problem found
     """
@@ -98,7 +98,7 @@
         raise SettingsError(
             [
                 SettingsProblem(
-                    key="", problem=f"not TOML: {error}", fix="mend the line"
+                    key="", problem=f"not TOML: {error}", fix="fix the syntax"
                 )
             ]
         ) from None
@@ -111,20 +111,22 @@
     try:
         return msgspec.convert(fields, kind)
     except msgspec.ValidationError as error:
-        raise SettingsError([_explain(str(error))]) from None
+        raise SettingsError([_make_conversion_problem(str(error))]) from None
 
 
 def find_unknown_keys(
     fields: dict[str, Any], section: type, path: str
 ) -> list[SettingsProblem]:
-    """List the keys that no setting has, each with the nearest known one."""
+    """List unknown keys, each with the most similar known one."""
     known = {
         field.name: field.type for field in msgspec.structs.fields(section)
     }
     problems = []
     for key, value in fields.items():
         if key not in known:
-            problems.append(_unknown_key(path + key, key, list(known)))
+            problems.append(
+                _make_unknown_key_problem(path + key, key, list(known))
+            )
             continue
         inner = _find_section(known[key])
         if inner is not None and isinstance(value, dict):
@@ -140,7 +142,9 @@
     return None
 
 
-def _unknown_key(path: str, key: str, known: list[str]) -> SettingsProblem:
+def _make_unknown_key_problem(
+    path: str, key: str, known: list[str]
+) -> SettingsProblem:
     near = difflib.get_close_matches(key, known, n=1)
     fix = f"did you mean {near[0]!r}?" if near else "remove it"
     if not near:
@@ -148,7 +152,7 @@
     return SettingsProblem(key=path, problem="is not a setting", fix=fix)
 
 
-def _explain(message: str) -> SettingsProblem:
+def _make_conversion_problem(message: str) -> SettingsProblem:
     found = re.search(r"at `\$\.?(.*)`", message)
     key = found.group(1) if found else ""
     problem = message.split(" - at ")[0]
--- a/burdockdrum/settings/model.py
+++ b/burdockdrum/settings/model.py
@@ -1,6 +1,6 @@
 """The settings of a daemon, with their defaults.
 
-docs/reference/settings.md describes each; a test holds it to this module.
+docs/reference/settings.md describes each; a test checks that it is complete.
 """
 
 from typing import Literal
@@ -11,11 +11,11 @@
 class _Section(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """The base class of a table; unknown keys are refused."""
+    """The base class of a table; unknown keys are rejected."""
 
 
 class VmSettings(_Section, frozen=True, kw_only=True):
-    """Who this VM is."""
+    """The identity and location of this VM."""
 
     id: str
     region: str
@@ -31,7 +31,7 @@
 
 
 class ListenSettings(_Section, frozen=True, kw_only=True):
-    """Where this VM is reached; port 0 takes a free one."""
+    """The addresses this VM listens on; port 0 selects a free one."""
 
     control: str = "tcp://127.0.0.1:0"
     http: str = "http://127.0.0.1:0"
@@ -39,7 +39,7 @@
 
 
 class ClusterSettings(_Section, frozen=True, kw_only=True):
-    """How this VM finds the others."""
+    """How this VM joins and authenticates with the others."""
 
     secret: str | None = None
     secret_file: str | None = None
@@ -47,14 +47,14 @@
 
 
 class ControlSettings(_Section, frozen=True, kw_only=True):
-    """Where the configuration is agreed.
-
-    ``members`` are the control VMs that first form the cluster, by id, with
-    their control addresses; ``data_folder`` is set on those VMs only.
-    ``voters`` is how many members the control VMs keep up by themselves:
-    an emptied one is taken in again, a lost one replaced. 0 leaves this to
-    operators. A control VM that hears no leader for ``election_seconds``
-    stands for election: several round trips and disk syncs.
+    """The control VMs, which replicate the configuration by consensus.
+
+    ``members`` are the initial control VMs by id, with their control
+    addresses; ``data_folder`` is set on those VMs only. ``voters`` is the
+    number of voters that the control VMs maintain automatically: a member
+    with an empty disk is added again, a lost one replaced. 0 leaves this to
+    operators. ``election_seconds`` is the election timeout; it has to cover
+    several round trips and disk syncs.
     """
 
     members: dict[str, str] = {}
@@ -64,21 +64,21 @@
 
 
 class TopologySettings(_Section, frozen=True, kw_only=True):
-    """The data centres that there are, each with its region.
+    """The data centres, each with its region.
 
-    A control VM takes check-ins of endpoints in these only.
+    Control VMs accept check-ins of endpoints only from these.
     """
 
     regions_by_data_centre: dict[str, str] = {}
 
 
 class PassThroughSettings(_Section, frozen=True, kw_only=True):
-    """Where requests are taken that are passed through by routes.
+    """The listeners of the reverse proxy, and its retry budget.
 
     ``callers`` and ``vms`` are ``IP:PORT``; the port of ``vms`` is the same
-    on all entries. Of the requests to a service so large a part,
-    ``retry_ratio``, may be sent once more in ``retry_window_seconds``, and
-    ``retry_burst`` beyond it, over all entries.
+    on all entry VMs. Within ``retry_window_seconds`` all entry VMs together
+    may retry the fraction ``retry_ratio`` of a service's requests, and
+    ``retry_burst`` more.
     """
 
     callers: str = ""
@@ -89,12 +89,12 @@
 
 
 class CallerSettings(_Section, frozen=True, kw_only=True):
-    """When a VM is sure of who its callers are.
+    """How old the configuration may be for authentication and routing.
 
-    A caller is refused for good, or told that there is no such route, only
-    while what the VM knows was the newest at most ``certain_seconds`` ago;
-    else it is told to come back. With ``strict_seconds`` no token is
-    believed by a VM whose knowledge is older: it may have been taken away.
+    A VM whose configuration was last known to be current more than
+    ``certain_seconds`` ago sends a retryable refusal instead of a final one
+    for an unknown token or route. With ``strict_seconds`` it rejects every
+    token while its configuration is older, as tokens may have been revoked.
     """
 
     certain_seconds: float = 4.0
@@ -102,30 +102,30 @@
 
 
 class ConfigurationSettings(_Section, frozen=True, kw_only=True):
-    """What a VM does that hears of no change for long.
+    """How a VM acts on a configuration that may be outdated.
 
-    For ``residency_lease_seconds`` after it last knew its configuration to
-    be current, a VM lets a client's data go to every region of its
-    residency; from then on to its home region only.
+    For ``residency_lease_seconds`` after its configuration was last known
+    to be current, a VM sends a client's data to all regions of its
+    residency, afterwards only to its home region.
     """
 
     residency_lease_seconds: float = 300.0
 
 
 class OperatorSettings(_Section, frozen=True, kw_only=True):
-    """Hashes of tokens that work before any operator resource exists."""
+    """Hashes of tokens that are valid before an operator resource exists."""
 
     token_hashes: list[str] = []
 
 
 class EndpointSettings(_Section, frozen=True, kw_only=True):
-    """Hashes of the tokens that endpoints announce themselves with."""
+    """Hashes of the tokens that authenticate endpoints."""
 
     token_hashes: list[str] = []
 
 
 class LimitSettings(_Section, frozen=True, kw_only=True):
-    """Bounds on what a caller may send and hold."""
+    """Limits of the size and the deadline of requests."""
 
     body_bytes: int = 4 * 1024 * 1024
     default_deadline_seconds: float = 60.0
@@ -133,11 +133,10 @@
 
 
 class MechanismSettings(_Section, frozen=True, kw_only=True):
-    """Which parts of the policy of passed requests are in use.
+    """Switches for the mechanisms of the proxy's routing policy.
 
-    docs/howto/policy.md says what each of them gives, and when an operator
-    may want to turn it off. What keeps a
-    promise, as the bound on retries does, has no switch.
+    docs/howto/policy.md describes each and when to turn it off. Mechanisms
+    that enforce a guarantee, such as the retry budget, have no switch.
     """
 
     observed_engines: bool = True
@@ -162,11 +161,11 @@
 
 
 class PolicySettings(_Section, frozen=True, kw_only=True):
-    """What counts most when load is above capacity.
+    """The routing policy under load above capacity.
 
-    ``tail`` keeps the latency of the highest ranks low; ``worth`` keeps the
-    most worth to the client completed. docs/howto/policy.md says what each
-    setting does.
+    ``tail`` minimizes the tail latency of the highest ranks; ``worth``
+    maximizes the worth of the completed requests. docs/howto/policy.md
+    describes each setting.
     """
 
     prefer: Literal["tail", "worth"] = "tail"
@@ -181,38 +180,39 @@
 
 
 class AttemptSettings(_Section, frozen=True, kw_only=True):
-    """How long an endpoint may be silent before another one is tried."""
+    """Timeouts of an attempt, after which another endpoint is tried."""
 
     first_token_seconds: float = 15.0
     between_tokens_seconds: float = 10.0
 
 
 class ClaimSettings(_Section, frozen=True, kw_only=True):
-    """Which VMs of this region keep the claims of its clients.
+    """The VMs of this region that store the claims of its clients.
 
     ``keepers`` maps ids to control addresses and has to be the same on all
-    VMs of the region, through restarts. Where it is empty the control VMs
-    of all regions are the keepers.
+    VMs of the region and stay the same across restarts. If it is empty, the
+    control VMs of all regions store the claims.
     """
 
     keepers: dict[str, str] = {}
 
 
 class OrderSettings(_Section, frozen=True, kw_only=True):
-    """How fast endpoints may be told to load weights.
+    """The rate limit of orders that make endpoints load weights.
 
-    ``loads_a_minute`` is what the weight store gives to all data centres
-    together; each takes an equal share.
+    ``loads_a_minute`` is the capacity of the weight store for all data
+    centres together, which is divided equally between them.
     """
 
     loads_a_minute: float = 60.0
 
 
 class DrainSettings(_Section, frozen=True, kw_only=True):
-    """How long a shutdown may take.
+    """The timeouts of draining before a shutdown.
 
-    For ``lists_seconds`` callers may still hold a list that names this VM;
-    then running requests are waited for, for ``limit_seconds`` at most.
+    For ``lists_seconds`` callers may still use a cached list of entries that
+    contains this VM; then running requests get up to ``limit_seconds`` to
+    finish.
     """
 
     lists_seconds: float = 6.0
@@ -220,7 +220,7 @@
 
 
 class LogSettings(_Section, frozen=True, kw_only=True):
-    """What is logged and in which form."""
+    """The level and format of the log."""
 
     level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
     format: Literal["text", "json"] = "text"
--- a/burdockdrum/settings/problems.py
+++ b/burdockdrum/settings/problems.py
@@ -1,11 +1,11 @@
-"""What can be wrong with a settings file."""
+"""Problems in a settings file."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, kw_only=True)
 class SettingsProblem:
-    """One thing wrong with a settings file."""
+    """A problem with a setting, and how to fix it."""
 
     key: str
     problem: str
--- a/burdockdrum/settings/values.py
+++ b/burdockdrum/settings/values.py
@@ -1,7 +1,6 @@
-"""Checks of single values, the same for every setting of a kind.
+"""Validate single values by the type and name of their setting.
 
-Which setting is of which kind follows from its type and its name, so a new
-one is checked without a line here.
+A new float, or a new key that ends in ``_file``, needs no check of its own.
 """
 
 from collections.abc import Iterator
@@ -14,14 +13,14 @@
 
 from burdockdrum.settings.problems import SettingsProblem
 
-# Names stand in log lines, metrics and addresses of resources.
+# Names are used in log lines, metrics and the paths of resources.
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,99}")
 _NAME_FIX = (
     "write 1 to 100 letters, digits, dots, colons, underscores or hyphens, "
     "a letter or digit first"
 )
-_NAMES = frozenset({"vm.id", "vm.region", "vm.data_centre"})
-_NAMED_BY = frozenset(
+_NAME_KEYS = frozenset({"vm.id", "vm.region", "vm.data_centre"})
+_NAME_TABLE_KEYS = frozenset(
     {
         "control.members",
         "claims.keepers",
@@ -31,17 +30,17 @@
 
 
 def check_values(settings: msgspec.Struct) -> Iterator[SettingsProblem]:
-    """Find values that no setting of their kind may have."""
+    """Find numbers that aren't finite, invalid names and unreadable files."""
     for key, value in _walk(settings, ""):
         if isinstance(value, float) and not math.isfinite(value):
             yield SettingsProblem(
                 key=key,
                 problem=f"is {value}",
-                fix="write a number, a large one for a very long time",
+                fix="write a finite number",
             )
-        if key in _NAMES:
+        if key in _NAME_KEYS:
             yield from _check_name(key, value)
-        if key in _NAMED_BY:
+        if key in _NAME_TABLE_KEYS:
             for name in value:
                 yield from _check_name(key, name)
         if key.endswith("_file") and value is not None:
