--- a/burdockdrum/web/application.py
+++ b/burdockdrum/web/application.py
@@ -1,4 +1,4 @@
-"""The routes of all faces in one application."""
+"""The ASGI application and its routes."""
 
 import functools
 
@@ -11,40 +11,40 @@
 from burdockdrum.verdicts import RefusalCode
 from burdockdrum.verdicts import Verdict
 from burdockdrum.vms import Drain
-from burdockdrum.web.callers import CallerFace
-from burdockdrum.web.control_face import ControlFace
+from burdockdrum.web.caller_handlers import CallerHandlers
+from burdockdrum.web.control_handlers import ControlHandlers
 from burdockdrum.web.counting import CountingApplication
-from burdockdrum.web.endpoint_face import EndpointFace
+from burdockdrum.web.endpoint_handlers import EndpointHandlers
 from burdockdrum.web.guard import guard
-from burdockdrum.web.operators import OperatorFace
-from burdockdrum.web.peer_face import PeerFace
-from burdockdrum.web.quarantine_face import QuarantineFace
+from burdockdrum.web.operator_handlers import OperatorHandlers
+from burdockdrum.web.peer_handlers import PeerHandlers
+from burdockdrum.web.quarantine_handlers import QuarantineHandlers
 
-PLAIN_METHODS = ("GET", "POST", "PUT", "PATCH", "DELETE")
+PLAIN_SERVICE_METHODS = ("GET", "POST", "PUT", "PATCH", "DELETE")
 
 
 def build_application(
     *,
-    callers: CallerFace,
-    endpoints: EndpointFace,
-    operators: OperatorFace,
-    peers: PeerFace,
-    quarantine: QuarantineFace,
-    control: ControlFace,
+    callers: CallerHandlers,
+    endpoints: EndpointHandlers,
+    operators: OperatorHandlers,
+    peers: PeerHandlers,
+    quarantine: QuarantineHandlers,
+    control: ControlHandlers,
     drain: Drain,
 ) -> Application:
     """Return the ASGI application of a daemon."""
-    work = functools.partial(guard, check=drain.check)
-    # A router of its own: by default applications of one process share one.
+    guard_work = functools.partial(guard, check=drain.check)
+    # Applications in one process share a router by default.
     router = Router()
     application = CountingApplication(router=router, drain=drain)
-    router.add_post("/v1/chat/completions", work(callers.chat))
-    router.add_post("/v1/completions", work(callers.complete))
+    router.add_post("/v1/chat/completions", guard_work(callers.chat))
+    router.add_post("/v1/completions", guard_work(callers.complete))
     router.add_get("/v1/models", guard(callers.list_models))
     router.add_get("/v1/entries", guard(callers.list_entries))
-    router.add_post("/v1/tickets", work(callers.issue_ticket))
-    for method in PLAIN_METHODS:
-        router.add(method, "/services/*", work(callers.call_plain))
+    router.add_post("/v1/tickets", guard_work(callers.issue_ticket))
+    for method in PLAIN_SERVICE_METHODS:
+        router.add(method, "/services/*", guard_work(callers.call_plain))
 
     router.add_post("/v1/endpoints/announce", guard(endpoints.announce))
     report = "/v1/endpoints/:endpoint_id/report"
@@ -52,7 +52,7 @@
     leave = "/v1/endpoints/:endpoint_id/leave"
     router.add_post(leave, guard(endpoints.leave))
 
-    router.add_post("/v1/forward", work(peers.forward))
+    router.add_post("/v1/forward", guard_work(peers.forward))
 
     router.add_get("/v1/resources/:kind", guard(operators.list))
     resource = "/v1/resources/:kind/:name"
@@ -79,6 +79,6 @@
     path = request.url.path.decode(errors="replace")
     raise Refusal(
         code=RefusalCode.NOT_FOUND,
-        message=f"nothing answers {request.method} {path}",
+        message=f"there is no route for {request.method} {path}",
         verdict=Verdict.NOT_RUN,
     )
--- a/burdockdrum/web/authentication.py
+++ b/burdockdrum/web/authentication.py
@@ -1,4 +1,4 @@
-"""Bearer tokens of clients, operators and endpoints."""
+"""Authentication of clients, operators and endpoints by bearer token."""
 
 from blacksheep.messages import Request
 
@@ -11,12 +11,12 @@
 from burdockdrum.verdicts import Verdict
 from burdockdrum.web.reading import header
 
-KNOWN_WAIT_SECONDS = 3.0
+CONFIGURATION_TIMEOUT_SECONDS = 3.0
 _PREFIX = "bearer "
 
 
 class Authenticator:
-    """Say whose token a request bears."""
+    """Identifies the owner of a request's bearer token."""
 
     def __init__(
         self,
@@ -25,27 +25,29 @@
         configuration: ConfigurationService,
         callers: CallerFinder,
     ) -> None:
-        """Create an authenticator over the configuration in force."""
+        """Create an authenticator that uses the current configuration."""
         self._operator_hashes = frozenset(settings.operators.token_hashes)
         self._endpoint_hashes = frozenset(settings.endpoints.token_hashes)
         self._configuration = configuration
         self._callers = callers
 
     async def identify_client(self, request: Request) -> str:
-        """Return the client, waiting while this VM learns of clients.
+        """Return the client, after waiting for the first configuration.
 
-        A VM that has just started knows no client yet. Told that its token
-        is wrong, a caller with a good one would give up for good.
+        A VM that has just started knows no clients yet; rejecting a valid
+        token as unknown would make its caller give up.
 
-        :raises Refusal: if the token is missing or no client's, or if this
-            VM has not learned its configuration in time
+        :raises Refusal: if the token is missing or not a client's, or if
+            this VM has not received its configuration in time
         """
-        # A request without a token is refused without a wait.
+        # A request without a token is rejected without waiting.
         self._read_token(request)
-        if not await self._configuration.wait_until_known(KNOWN_WAIT_SECONDS):
+        if not await self._configuration.wait_until_known(
+            CONFIGURATION_TIMEOUT_SECONDS
+        ):
             raise Refusal(
                 code=RefusalCode.CONFIGURATION_STALE,
-                message="this VM does not know its configuration yet",
+                message="this VM has not received its configuration yet",
                 verdict=Verdict.NOT_RUN,
                 retry_after=1.0,
             )
@@ -54,18 +56,18 @@
     def find_client(self, request: Request) -> str:
         """Return the id of the client whose token the request bears.
 
-        :raises Refusal: if the token is missing or no client's
+        :raises Refusal: if the token is missing or not a client's
         """
         caller = self._callers.find(self._read_token(request))
         if caller.client_id is None:
-            # Teams of a route table call by its routes only.
-            raise _refuse("the token is no client's")
+            # Teams of a route table may use only its routes.
+            raise _make_refusal("the token does not belong to a client")
         return caller.client_id
 
     def find_operator(self, request: Request) -> str:
         """Return the name of the operator whose token the request bears.
 
-        :raises Refusal: if the token is missing or no operator's
+        :raises Refusal: if the token is missing or not an operator's
         """
         token_hash = self._read_hash(request)
         current = self._configuration.current
@@ -73,7 +75,7 @@
         if name is None and token_hash in self._operator_hashes:
             name = "bootstrap"
         if name is None:
-            raise _refuse("the token is no operator's")
+            raise _make_refusal("the token does not belong to an operator")
         return name
 
     def check_endpoint(self, request: Request) -> None:
@@ -82,7 +84,7 @@
         :raises Refusal: if it doesn't
         """
         if self._read_hash(request) not in self._endpoint_hashes:
-            raise _refuse("the token is no endpoint's")
+            raise _make_refusal("the token does not belong to an endpoint")
 
     def _read_hash(self, request: Request) -> str:
         return hash_token(self._read_token(request))
@@ -90,11 +92,11 @@
     def _read_token(self, request: Request) -> str:
         value = header(request, "authorization") or ""
         if not value.lower().startswith(_PREFIX):
-            raise _refuse("send 'Authorization: Bearer TOKEN'")
+            raise _make_refusal("send 'Authorization: Bearer TOKEN'")
         return value[len(_PREFIX) :].strip()
 
 
-def _refuse(message: str) -> Refusal:
+def _make_refusal(message: str) -> Refusal:
     return Refusal(
         code=RefusalCode.UNAUTHENTICATED,
         message=message,
--- a/burdockdrum/web/callers.py
+++ b/burdockdrum/web/caller_handlers.py
@@ -1,4 +1,4 @@
-"""What callers use: completions, models, plain services, entries."""
+"""Handlers for callers: completions, models, plain services, entry VMs."""
 
 import random
 
@@ -21,11 +21,11 @@
 from burdockdrum.vms import VmDirectory
 from burdockdrum.web.authentication import Authenticator
 from burdockdrum.web.parsing import is_unrepeatable_path
-from burdockdrum.web.parsing import make_plain
+from burdockdrum.web.parsing import make_plain_request
 from burdockdrum.web.parsing import parse_completion
 from burdockdrum.web.parsing import parse_headers
 from burdockdrum.web.parsing import PriorityClasses
-from burdockdrum.web.reading import query
+from burdockdrum.web.reading import query_parameter
 from burdockdrum.web.reading import read_body
 from burdockdrum.web.responses import json_response
 from burdockdrum.web.streaming import respond
@@ -34,7 +34,7 @@
 
 
 class ModelEntry(msgspec.Struct, frozen=True):
-    """One model, as OpenAI-style clients list them."""
+    """A model in the format of the OpenAI API."""
 
     id: str
     object: str = "model"
@@ -43,21 +43,21 @@
 
 
 class ModelList(msgspec.Struct, frozen=True):
-    """The models that a client may use."""
+    """A list of models in the format of the OpenAI API."""
 
     data: list[ModelEntry]
     object: str = "list"
 
 
 class Ticket(msgspec.Struct, frozen=True, kw_only=True):
-    """A key for an unrepeatable request, and how long it is remembered."""
+    """A key for an unrepeatable request, and how long it is retained."""
 
     idempotency_key: str
     remembered_seconds: float
 
 
-class CallerFace:
-    """The handlers of callers' requests."""
+class CallerHandlers:
+    """Handlers for the requests of callers."""
 
     def __init__(
         self,
@@ -100,11 +100,11 @@
         headers = parse_headers(
             request,
             self._settings,
-            self._find_classes(client_id),
+            self._get_priority_classes(client_id),
             always_unrepeatable=spec is not None
             and is_unrepeatable_path(spec, request.method, "/" + rest),
         )
-        inbound = make_plain(
+        inbound = make_plain_request(
             request,
             request_id=request_id,
             client_id=client_id,
@@ -119,7 +119,7 @@
     async def issue_ticket(
         self, request: Request, request_id: str
     ) -> Response:
-        """Serve POST /v1/tickets: a key that is provably new."""
+        """Serve POST /v1/tickets: issue an unused idempotency key."""
         client_id = await self._authenticator.identify_client(request)
         ticket = await self._claims.issue_ticket(client_id)
         return json_response(
@@ -130,7 +130,7 @@
         )
 
     async def list_models(self, request: Request, request_id: str) -> Response:
-        """Serve GET /v1/models: those the client's residency allows."""
+        """Serve GET /v1/models: models the client's residency allows."""
         client_id = await self._authenticator.identify_client(request)
         configuration = self._configuration.current
         client = configuration.clients_by_id[client_id]
@@ -147,13 +147,14 @@
     async def list_entries(
         self, request: Request, request_id: str
     ) -> Response:
-        """Serve GET /v1/entries: which entry VMs to use, and how long."""
+        """Serve GET /v1/entries: entry VMs to use, and for how long."""
         self._check_any_token(request)
         identity = self._vms.identity
         entries = select_entries(
             views=self._vms.live_vms(),
-            region=query(request, "region") or identity.region,
-            data_centre=query(request, "data_centre") or identity.data_centre,
+            region=query_parameter(request, "region") or identity.region,
+            data_centre=query_parameter(request, "data_centre")
+            or identity.data_centre,
             rng=self._rng,
         )
         return json_response(entries)
@@ -176,26 +177,26 @@
             kind=kind,
             body=body,
             settings=self._settings,
-            classes=self._find_classes(client_id),
+            classes=self._get_priority_classes(client_id),
             clock=self._clock,
         )
-        self._check_is_model(inbound)
+        self._check_model_service(inbound)
         return await respond(request, inbound, self._requests, request_id)
 
-    def _find_classes(self, client_id: str) -> PriorityClasses:
+    def _get_priority_classes(self, client_id: str) -> PriorityClasses:
         configuration = self._configuration.current
         return PriorityClasses(
             client=configuration.clients_by_id[client_id],
             specs_by_name=configuration.priority_classes_by_name,
         )
 
-    def _check_is_model(self, inbound: InboundRequest) -> None:
+    def _check_model_service(self, inbound: InboundRequest) -> None:
         services = self._configuration.current.services_by_name
         service = services.get(inbound.service)
         if service is not None and service.type != "model":
             raise Refusal(
                 code=RefusalCode.UNKNOWN_SERVICE,
-                message=f"{inbound.service!r} is a plain service, "
-                f"reached under {SERVICES_PREFIX}{inbound.service}/",
+                message=f"{inbound.service!r} is a plain service; its path "
+                f"is {SERVICES_PREFIX}{inbound.service}/",
                 verdict=Verdict.NOT_RUN,
             )
--- a/burdockdrum/web/control_face.py
+++ b/burdockdrum/web/control_handlers.py
@@ -1,4 +1,4 @@
-"""What operators use to replace a control VM or its disk."""
+"""Handlers for operators who replace a control VM or its disk."""
 
 from collections.abc import Awaitable
 
@@ -14,25 +14,25 @@
 from burdockdrum.verdicts import RefusalCode
 from burdockdrum.verdicts import Verdict
 from burdockdrum.web.authentication import Authenticator
+from burdockdrum.web.reading import path_parameter
 from burdockdrum.web.reading import read_json
-from burdockdrum.web.reading import route_value
 from burdockdrum.web.responses import json_response
 
 
 class MemberBody(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """A control VM to add: its control address and the id of its disk."""
+    """The control address and disk id of a control VM to add."""
 
     address: str
     disk_id: str
 
 
 class ControlView(msgspec.Struct, frozen=True, kw_only=True):
-    """The members of the log, and this VM's own part in it.
+    """The members of the replicated log, and this VM's state in it.
 
-    ``last_contact_seconds`` is since when no leader, or on the leader no
-    quorum, was heard.
+    ``last_contact_seconds`` is the time since the last contact with the
+    leader, or on the leader with a quorum.
     """
 
     members: list[Member]
@@ -43,8 +43,8 @@
     last_contact_seconds: float | None
 
 
-class ControlFace:
-    """The handlers of operators' requests about the control VMs."""
+class ControlHandlers:
+    """Handlers for the membership of control VMs."""
 
     def __init__(
         self,
@@ -56,8 +56,8 @@
     ) -> None:
         """Create the handlers.
 
-        :param log: the replicated log, on a control VM
-        :param control_ids: who to ask instead, on another VM
+        :param log: the replicated log, None if this is not a control VM
+        :param control_ids: the control VMs, named in refusals by other VMs
         """
         self._authenticator = authenticator
         self._log = log
@@ -79,18 +79,18 @@
         )
 
     async def add(self, request: Request, request_id: str) -> Response:
-        """Serve PUT /v1/control/members/VM: a learner that will vote."""
+        """Serve PUT /v1/control/members/VM: add a learner to be promoted."""
         log = self._find_log(request)
         body = await read_json(request, self._limit, MemberBody)
-        vm_id = route_value(request, "vm_id")
-        await _change(log.add_member(vm_id, body.address, body.disk_id))
+        vm_id = path_parameter(request, "vm_id")
+        await _await_change(log.add_member(vm_id, body.address, body.disk_id))
         return json_response({"added": vm_id})
 
     async def remove(self, request: Request, request_id: str) -> Response:
         """Serve DELETE /v1/control/members/VM."""
         log = self._find_log(request)
-        vm_id = route_value(request, "vm_id")
-        await _change(log.remove_member(vm_id))
+        vm_id = path_parameter(request, "vm_id")
+        await _await_change(log.remove_member(vm_id))
         return json_response({"removed": vm_id})
 
     def _find_log(self, request: Request) -> ReplicatedLog:
@@ -99,15 +99,15 @@
             names = ", ".join(sorted(self._control_ids))
             raise Refusal(
                 code=RefusalCode.NOT_FOUND,
-                message=f"this is no control VM; ask one of: {names}",
+                message=f"this is not a control VM; use one of: {names}",
                 verdict=Verdict.NOT_RUN,
             )
         return self._log
 
 
-async def _change(changing: Awaitable[None]) -> None:
+async def _await_change(change: Awaitable[None]) -> None:
     try:
-        await changing
+        await change
     except NotAccepted as error:
         raise Refusal(
             code=RefusalCode.NOT_ACCEPTED,
@@ -117,7 +117,7 @@
     except OutcomeUnknown as error:
         raise Refusal(
             code=RefusalCode.OUTCOME_UNKNOWN,
-            message=f"{error}; list the members before trying again",
+            message=f"{error}; list the members before retrying",
             verdict=Verdict.MAY_HAVE_RUN,
             retry_after=1.0,
         ) from error
--- a/burdockdrum/web/counting.py
+++ b/burdockdrum/web/counting.py
@@ -1,4 +1,4 @@
-"""The application that counts the requests it serves."""
+"""An application that counts the requests in progress."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -9,8 +9,8 @@
 
 from burdockdrum.vms import Drain
 
-# Paths of work; status pages and endpoints' reports hold up no drain.
-WORK_PREFIXES = (
+# A drain waits only for these, not for status pages or endpoints' reports.
+COUNTED_PATH_PREFIXES = (
     "/v1/chat/",
     "/v1/completions",
     "/v1/forward",
@@ -19,10 +19,10 @@
 
 
 class CountingApplication(Application):
-    """Tell the drain how many answers are not finished.
+    """Reports the requests in progress to the drain.
 
-    Counting is done here rather than in a handler: a streamed body is sent
-    after its handler has returned.
+    They are counted here rather than in handlers, as a streamed body is
+    sent after its handler has returned.
     """
 
     def __init__(self, *, router: Router, drain: Drain) -> None:
@@ -38,7 +38,9 @@
     ) -> None:
         """Serve one ASGI connection."""
         path = scope.get("path", "")
-        if scope["type"] != "http" or not path.startswith(WORK_PREFIXES):
+        if scope["type"] != "http" or not path.startswith(
+            COUNTED_PATH_PREFIXES
+        ):
             await super().__call__(scope, receive, send)
             return
         with self._drain.count_request():
--- a/burdockdrum/web/endpoint_face.py
+++ b/burdockdrum/web/endpoint_handlers.py
@@ -1,4 +1,4 @@
-"""What endpoints use: announce, report, leave."""
+"""Handlers for endpoints: announce, report, leave."""
 
 from blacksheep.messages import Request
 from blacksheep.messages import Response
@@ -13,21 +13,21 @@
 from burdockdrum.verdicts import Verdict
 from burdockdrum.vms import VmDirectory
 from burdockdrum.web.authentication import Authenticator
+from burdockdrum.web.reading import path_parameter
 from burdockdrum.web.reading import read_json
-from burdockdrum.web.reading import route_value
 from burdockdrum.web.responses import json_response
 
 
-class Leaving(
+class LeaveBody(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """An endpoint that wants no new work."""
+    """A message of an endpoint that starts draining."""
 
     incarnation: int
 
 
-class EndpointFace:
-    """The handlers of endpoints' messages."""
+class EndpointHandlers:
+    """Handlers for the messages of endpoints."""
 
     def __init__(
         self,
@@ -46,33 +46,33 @@
     async def announce(self, request: Request, request_id: str) -> Response:
         """Serve POST /v1/endpoints/announce."""
         self._authenticator.check_endpoint(request)
-        self._check_stays()
+        self._check_not_draining()
         announcement = await read_json(request, self._limit, Announcement)
         return json_response(self._endpoints.announce(announcement))
 
     async def report(self, request: Request, request_id: str) -> Response:
         """Serve POST /v1/endpoints/ID/report."""
         self._authenticator.check_endpoint(request)
-        self._check_stays()
+        self._check_not_draining()
         report = await read_json(request, self._limit, Report)
-        endpoint_id = route_value(request, "endpoint_id")
+        endpoint_id = path_parameter(request, "endpoint_id")
         return json_response(self._endpoints.report(endpoint_id, report))
 
     async def leave(self, request: Request, request_id: str) -> Response:
         """Serve POST /v1/endpoints/ID/leave."""
         self._authenticator.check_endpoint(request)
-        leaving = await read_json(request, self._limit, Leaving)
-        endpoint_id = route_value(request, "endpoint_id")
-        self._endpoints.start_draining(endpoint_id, leaving.incarnation)
+        body = await read_json(request, self._limit, LeaveBody)
+        endpoint_id = path_parameter(request, "endpoint_id")
+        self._endpoints.start_draining(endpoint_id, body.incarnation)
         return json_response({"left": endpoint_id})
 
-    def _check_stays(self) -> None:
-        # An endpoint whose reporter drains has to move on before the VM is
-        # gone, or it would be offered by nobody for a while.
+    def _check_not_draining(self) -> None:
+        # Endpoints that report to a draining VM have to switch before it
+        # exits; otherwise no VM would know them until their next report.
         if not self._vms.draining:
             return
-        here = self._vms.vms_in(self._vms.identity.data_centre)
-        if any(not view.draining for view in here):
+        local_vms = self._vms.vms_in(self._vms.identity.data_centre)
+        if any(not view.draining for view in local_vms):
             raise Refusal(
                 code=RefusalCode.DRAINING,
                 message="this entry VM is shutting down; report to another",
--- a/burdockdrum/web/guard.py
+++ b/burdockdrum/web/guard.py
@@ -1,4 +1,4 @@
-"""Turn whatever a handler raises into a refusal."""
+"""A wrapper of handlers that converts exceptions to refusals."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -17,18 +17,18 @@
 _CALLER_PATHS = (b"/services/", b"/v1/chat/completions", b"/v1/completions")
 
 Handler = Callable[[Request, str], Awaitable[Response]]
-Guarded = Callable[[Request], Awaitable[Response]]
+GuardedHandler = Callable[[Request], Awaitable[Response]]
 
 
 def guard(
     handler: Handler, *, check: Callable[[], None] | None = None
-) -> Guarded:
-    """Give each request an id, and each failure its JSON form.
+) -> GuardedHandler:
+    """Wrap a handler to assign request ids and respond to exceptions.
 
-    ``check`` may refuse a request before its handler sees it.
+    Unexpected exceptions give the verdict "may have run", as it is unknown
+    what was done before them.
 
-    An error that nobody foresaw says "may have run": what was done before
-    it is not known here.
+    :param check: raises to refuse a request before its handler is called
     """
 
     async def handle(request: Request) -> Response:
@@ -38,20 +38,22 @@
                 check()
             return await handler(request, request_id)
         except Refusal as refusal:
-            return refusal_response(_soften(request, refusal), request_id)
+            return refusal_response(
+                _correct_verdict(request, refusal), request_id
+            )
         except Exception as error:
             logger.opt(exception=error).error("request {} failed", request_id)
-            return refusal_response(_make_internal(), request_id)
+            return refusal_response(_make_internal_error(), request_id)
 
     return handle
 
 
-def _soften(request: Request, refusal: Refusal) -> Refusal:
-    """Admit that an earlier copy of a request may have run.
+def _correct_verdict(request: Request, refusal: Refusal) -> Refusal:
+    """Return "may have run" instead of "not run" for a keyed request.
 
-    What is refused before the keepers of claims were asked, as by a VM that
-    has restarted and does not know the client yet, says nothing of a run
-    that the same key began elsewhere.
+    A request that is refused before its claim was looked up, for example by
+    a VM that has restarted and does not know the client yet, may have run
+    elsewhere under the same key.
     """
     if refusal.verdict is not Verdict.NOT_RUN:
         return refusal
@@ -62,9 +64,9 @@
     return refusal.with_verdict(Verdict.MAY_HAVE_RUN)
 
 
-def _make_internal() -> Refusal:
+def _make_internal_error() -> Refusal:
     return Refusal(
         code=RefusalCode.INTERNAL,
-        message="an internal error; see the log for the request's id",
+        message="internal error; search the log for the request id",
         verdict=Verdict.MAY_HAVE_RUN,
     )
--- a/burdockdrum/web/operators.py
+++ b/burdockdrum/web/operator_handlers.py
@@ -1,4 +1,4 @@
-"""What operators use: resources, status, the time line, drains."""
+"""Handlers for operators: resources, status, timeline, draining."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Callable
@@ -36,22 +36,22 @@
 from burdockdrum.web.authentication import Authenticator
 from burdockdrum.web.reading import bad_request
 from burdockdrum.web.reading import header
-from burdockdrum.web.reading import query
+from burdockdrum.web.reading import path_parameter
+from burdockdrum.web.reading import query_parameter
 from burdockdrum.web.reading import read_json
-from burdockdrum.web.reading import route_value
 from burdockdrum.web.responses import json_response
 from burdockdrum.web.responses import text_response
-from burdockdrum.web.streaming import watch_stream
+from burdockdrum.web.streaming import stream_until_disconnect
 
 _STATUS_BY_CODE = {"accepted": 200, "conflict": 409, "invalid": 422}
 _GONE_STATUS = 410
-_MAX_CHANGE_ID = 128
+_MAX_CHANGE_ID_LENGTH = 128
 
 
 class PutBody(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """What an operator sends to put a resource."""
+    """The body of a request to put a resource."""
 
     spec: dict[str, Any]
     resource_version: int = 0
@@ -61,14 +61,14 @@
 class DeleteBody(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """What an operator sends to delete a resource."""
+    """The body of a request to delete a resource."""
 
     resource_version: int
     change_id: str = ""
 
 
 class ResourceStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a resource's accepted state is in force."""
+    """The VMs at which a resource's accepted state is in force."""
 
     in_force_here: bool
     in_force_at: list[str]
@@ -76,14 +76,14 @@
 
 
 class ResourceView(msgspec.Struct, frozen=True, kw_only=True):
-    """A resource as an operator reads it: desired and in force apart."""
+    """A resource's desired state, and where it is in force."""
 
     resource: Resource
     status: ResourceStatus
 
 
 class WatchGone(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer to a watch from a revision that is too old."""
+    """The response to a watch from a revision that is no longer stored."""
 
     message: str
     request_id: str
@@ -92,8 +92,8 @@
     verdict: str = Verdict.NOT_RUN.value
 
 
-class OperatorFace:
-    """The handlers of operators' requests."""
+class OperatorHandlers:
+    """Handlers for the requests of operators."""
 
     def __init__(
         self,
@@ -161,27 +161,27 @@
                 verdict=Verdict.NOT_RUN,
             )
         revisions = await self._configuration.fetch_in_force()
-        return json_response(_view(resource, revisions))
+        return json_response(_make_resource_view(resource, revisions))
 
     async def list(self, request: Request, request_id: str) -> Response:
         """Serve GET /v1/resources/KIND."""
         self._authenticator.find_operator(request)
-        kind = route_value(request, "kind")
+        kind = path_parameter(request, "kind")
         resources = self._configuration.current.resources_by_key
         revisions = await self._configuration.fetch_in_force()
         return json_response(
             [
-                _view(resource, revisions)
+                _make_resource_view(resource, revisions)
                 for key, resource in sorted(resources.items())
                 if key.kind == kind
             ]
         )
 
     async def watch(self, request: Request, request_id: str) -> Response:
-        """Serve GET /v1/watch: an event a changed resource.
+        """Serve GET /v1/watch: an event for each change of a resource.
 
-        From ``revision``, or the ``Last-Event-ID`` of a watch that broke, on;
-        without either, first every resource as it is.
+        Starts after the query's ``revision`` or the ``Last-Event-ID`` of an
+        interrupted watch; without either, sends all resources first.
         """
         self._authenticator.find_operator(request)
         revision = _read_revision(request)
@@ -195,7 +195,7 @@
         except RevisionGone as gone:
             return _gone_response(gone, request_id)
         events = self._watch_events(first, revision)
-        body = watch_stream(request, events)
+        body = stream_until_disconnect(request, events)
         content = StreamedContent(b"text/event-stream", body)
         return Response(200, None, content)
 
@@ -208,19 +208,19 @@
             async for change in self._configuration.watch(revision):
                 yield _encode_event(change)
         except RevisionGone as gone:
-            # The watcher read more slowly than changes came.
+            # The watcher fell behind the revisions that are stored.
             message = msgspec.json.encode({"message": str(gone)})
             yield b"event: gone\ndata: " + message + b"\n\n"
 
     async def list_endpoints(
         self, request: Request, request_id: str
     ) -> Response:
-        """Serve GET /v1/endpoints: those this VM knows."""
+        """Serve GET /v1/endpoints: the endpoints known to this VM."""
         self._authenticator.find_operator(request)
         return json_response(list(self._endpoints.endpoints_by_id.values()))
 
     async def status(self, request: Request, request_id: str) -> Response:
-        """Serve GET /v1/status: this VM and what it knows of others."""
+        """Serve GET /v1/status: this VM's state and its view of others."""
         self._authenticator.find_operator(request)
         in_force_by_vm_id = await self._configuration.fetch_in_force()
         return json_response(
@@ -237,11 +237,11 @@
     async def events(self, request: Request, request_id: str) -> Response:
         """Serve GET /v1/timeline: the events of this process."""
         self._authenticator.find_operator(request)
-        revision = query(request, "revision")
+        revision = query_parameter(request, "revision")
         return json_response(
             self._timeline.events(
-                prefix=query(request, "prefix") or "",
-                request_id=query(request, "request_id"),
+                prefix=query_parameter(request, "prefix") or "",
+                request_id=query_parameter(request, "request_id"),
                 revision=int(revision) if revision else None,
             )
         )
@@ -253,7 +253,7 @@
         return json_response({"draining": self._vms.identity.vm_id})
 
     async def metrics(self, request: Request, request_id: str) -> Response:
-        """Serve GET /metrics in the usual text format."""
+        """Serve GET /metrics in the Prometheus text format."""
         return text_response(self._metrics.text())
 
     async def _change(self, change: Change) -> Response:
@@ -262,7 +262,7 @@
         except ChangeUnknown as error:
             raise Refusal(
                 code=RefusalCode.CONFIGURATION_STALE,
-                message=f"{error}; send it again with the same change_id",
+                message=f"{error}; retry with the same change_id",
                 verdict=Verdict.MAY_HAVE_RUN,
                 retry_after=1.0,
             ) from error
@@ -276,7 +276,9 @@
         return _change_response(result)
 
 
-def _view(resource: Resource, revisions: dict[str, int]) -> ResourceView:
+def _make_resource_view(
+    resource: Resource, revisions: dict[str, int]
+) -> ResourceView:
     reached = [
         vm_id
         for vm_id, revision in revisions.items()
@@ -298,20 +300,22 @@
 
 def _read_key(request: Request) -> ResourceKey:
     return ResourceKey(
-        route_value(request, "kind"), route_value(request, "name")
+        path_parameter(request, "kind"), path_parameter(request, "name")
     )
 
 
 def _check_change_id(change_id: str) -> str:
-    if len(change_id) > _MAX_CHANGE_ID:
-        raise bad_request(f"change_id is over {_MAX_CHANGE_ID} characters")
+    if len(change_id) > _MAX_CHANGE_ID_LENGTH:
+        raise bad_request(
+            f"change_id is over {_MAX_CHANGE_ID_LENGTH} characters"
+        )
     return change_id or secrets.token_hex(16)
 
 
 def _read_revision(request: Request) -> int | None:
     for field, value in (
         ("Last-Event-ID", header(request, "last-event-id")),
-        ("revision", query(request, "revision")),
+        ("revision", query_parameter(request, "revision")),
     ):
         if value:
             if not value.isdecimal():
@@ -321,8 +325,8 @@
 
 
 def _list_events(configuration: Configuration) -> list[Revised]:
-    # In the order of their versions, so that the id of each is a revision
-    # that a watch which breaks here can go on from.
+    # Sorted by version, so that an interrupted watch can resume after the id
+    # of any event.
     resources = sorted(
         configuration.resources_by_key.values(),
         key=lambda resource: resource.version,
--- a/burdockdrum/web/parsing.py
+++ b/burdockdrum/web/parsing.py
@@ -1,4 +1,4 @@
-"""Turn a caller's HTTP request into an inbound request."""
+"""Parse a caller's HTTP request into an inbound request."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -28,8 +28,8 @@
 UNREPEATABLE_HEADER = "x-unrepeatable"
 IDEMPOTENCY_HEADER = "idempotency-key"
 MAX_KEY_LENGTH = 255
-# What a plain service may need to know of the caller's wishes.
-PASSED_REQUEST_HEADERS = (
+# Headers that are forwarded to plain services.
+FORWARDED_REQUEST_HEADERS = (
     "accept",
     "accept-language",
     "if-match",
@@ -40,12 +40,12 @@
 DEFAULT_MAX_TOKENS = 256
 PREFIX_BLOCK_BYTES = 512
 MAX_PREFIX_BLOCKS = 64
-# English text has about four bytes a token.
+# An estimate for English text.
 _BYTES_PER_TOKEN = 4
 
 
 class ChatMessage(msgspec.Struct, frozen=True):
-    """One message of a chat; other fields pass through unread."""
+    """A message of a chat; other fields are forwarded without parsing."""
 
     role: str
     content: Any = ""
@@ -54,7 +54,7 @@
 class CompletionBody(msgspec.Struct, frozen=True, kw_only=True):
     """The fields of a completion request that routing needs.
 
-    Other fields are the engine's and pass through unread.
+    Other fields are forwarded to the engine without parsing.
     """
 
     model: str
@@ -68,9 +68,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CallerHeaders:
-    """What a caller may say about any request."""
+    """The headers that a caller may set on any request."""
 
-    seconds: float
+    deadline_seconds: float
     priority_class: str | None
     unrepeatable: bool
     idempotency_key: str | None
@@ -78,18 +78,19 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PriorityClasses:
-    """The classes there are, and the client that may use some of them."""
+    """The priority classes, and a client that may use some of them."""
 
     client: ClientSpec
     specs_by_name: Mapping[str, PriorityClassSpec]
 
     def find(self, name: str | None) -> PriorityClassSpec | None:
-        """Return the class that a request asks for, or the client's own.
+        """Return the class that a request names, or the client's default.
 
-        :raises Refusal: if there is none of that name, or it is not allowed
+        :raises Refusal: if there is no class of that name, or the client
+            may not use it
         """
-        wanted = name or self.client.priority_class
-        spec = self.specs_by_name.get(wanted) if wanted else None
+        effective = name or self.client.priority_class
+        spec = self.specs_by_name.get(effective) if effective else None
         if name is None:
             return spec
         if spec is None:
@@ -114,18 +115,19 @@
     *,
     always_unrepeatable: bool = False,
 ) -> CallerHeaders:
-    """Read deadline, priority class and the marks of a request.
+    """Parse the deadline, priority class and idempotency headers.
 
-    :param always_unrepeatable: true where the operator marked the path
-    :raises Refusal: naming the header that is wrong
+    :param always_unrepeatable: whether the path is configured as
+        unrepeatable
+    :raises Refusal: naming the invalid header
     """
     key = header(request, IDEMPOTENCY_HEADER)
-    if key is not None and not _is_good_key(key):
+    if key is not None and not _is_valid_key(key):
         raise bad_request(
             f"{IDEMPOTENCY_HEADER} must have 1 to {MAX_KEY_LENGTH} printable "
             "ASCII characters"
         )
-    unrepeatable = _parse_mark(request) or always_unrepeatable
+    unrepeatable = _parse_unrepeatable(request) or always_unrepeatable
     priority_class = header(request, PRIORITY_HEADER)
     spec = classes.find(priority_class)
     default = settings.limits.default_deadline_seconds
@@ -135,11 +137,11 @@
         )
     if unrepeatable and key is None:
         raise bad_request(
-            "an unrepeatable request needs an Idempotency-Key, so that "
-            "sending it again can't run it twice"
+            "an unrepeatable request needs an Idempotency-Key, so that a "
+            "retry can't run it twice"
         )
     return CallerHeaders(
-        seconds=_parse_deadline(request, settings, default),
+        deadline_seconds=_parse_deadline(request, settings, default),
         priority_class=priority_class,
         unrepeatable=unrepeatable,
         idempotency_key=key,
@@ -157,14 +159,14 @@
     classes: PriorityClasses,
     clock: Clock,
 ) -> InboundRequest:
-    """Read a chat or text completion.
+    """Parse a chat or text completion.
 
-    :raises Refusal: naming the field that is wrong
+    :raises Refusal: naming the invalid field
     """
     try:
         parsed = msgspec.json.decode(body, type=CompletionBody)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise bad_request(f"the body is not as expected: {error}") from None
+        raise bad_request(f"the body is invalid: {error}") from None
     prompt = _extract_prompt(parsed, kind)
     max_tokens = parsed.max_completion_tokens or parsed.max_tokens
     if max_tokens is not None and max_tokens < 1:
@@ -182,7 +184,7 @@
         content_type="application/json",
         stream=parsed.stream,
         received_at=now,
-        deadline=now + headers.seconds,
+        deadline=now + headers.deadline_seconds,
         priority_class=headers.priority_class,
         unrepeatable=headers.unrepeatable,
         idempotency_key=headers.idempotency_key,
@@ -190,13 +192,13 @@
         prompt_tokens=len(prompt) // _BYTES_PER_TOKEN + 1,
         max_tokens=max_tokens or DEFAULT_MAX_TOKENS,
         prefix_hashes=hash_prefixes(prompt),
-        fingerprint=fingerprint(
+        fingerprint=compute_fingerprint(
             b"\0".join((client_id.encode(), parsed.model.encode(), prompt))
         ),
     )
 
 
-def make_plain(
+def make_plain_request(
     request: Request,
     *,
     request_id: str,
@@ -207,7 +209,7 @@
     headers: CallerHeaders,
     now: float,
 ) -> InboundRequest:
-    """Return a call of a plain service, passed through as it came."""
+    """Return a request to a plain service, to be forwarded unchanged."""
     search = request.url.query
     target = "/" + rest + ("?" + search.decode() if search else "")
     texts = (client_id, service, request.method, target)
@@ -224,23 +226,23 @@
         or "application/octet-stream",
         stream=False,
         received_at=now,
-        deadline=now + headers.seconds,
+        deadline=now + headers.deadline_seconds,
         priority_class=headers.priority_class,
         unrepeatable=headers.unrepeatable,
         idempotency_key=headers.idempotency_key,
-        fingerprint=fingerprint(b"\0".join((*content, body))),
+        fingerprint=compute_fingerprint(b"\0".join((*content, body))),
         headers=tuple(
             (name, value)
-            for name in PASSED_REQUEST_HEADERS
+            for name in FORWARDED_REQUEST_HEADERS
             if (value := header(request, name)) is not None
         ),
     )
 
 
 def is_unrepeatable_path(spec: ServiceSpec, method: str, path: str) -> bool:
-    """Say whether the operator marked a call as one not to repeat.
+    """Return whether a request matches ``unrepeatable_paths``.
 
-    A pattern of ``unrepeatable_paths`` may hold ``*`` for any characters.
+    In a pattern ``*`` matches any characters; GET and HEAD never match.
     """
     if method in ("GET", "HEAD"):
         return False
@@ -251,10 +253,10 @@
 
 
 def hash_prefixes(prompt: bytes) -> tuple[int, ...]:
-    """Return a hash of each growing prefix of whole blocks.
+    """Return the hash of each prefix that consists of whole blocks.
 
-    Two prompts share their first hashes exactly as far as their first
-    blocks are equal, which is how engines cache prefixes.
+    Two prompts have as many leading hashes in common as leading blocks,
+    which corresponds to how engines cache prefixes.
     """
     digest = hashlib.blake2b(digest_size=8)
     hashes = []
@@ -268,11 +270,11 @@
     return tuple(hashes)
 
 
-def fingerprint(content: bytes) -> str:
-    """Return what tells that two requests ask for the same work.
+def compute_fingerprint(content: bytes) -> str:
+    """Return a hash that identifies requests with the same content.
 
-    The client is part of the content, so that a quarantine which turns out
-    to be a false alarm never refuses another client's requests.
+    The content includes the client, so that a false positive of the
+    quarantine affects no other client.
     """
     return hashlib.blake2b(content, digest_size=16).hexdigest()
 
@@ -280,32 +282,35 @@
 def _extract_prompt(parsed: CompletionBody, kind: RequestKind) -> bytes:
     if kind is RequestKind.CHAT:
         if not parsed.messages:
-            raise bad_request("messages must hold at least one message")
+            raise bad_request("messages must contain at least one message")
         return b"".join(
-            message.role.encode() + b"\0" + _flatten(message.content) + b"\0"
+            message.role.encode()
+            + b"\0"
+            + _encode_content(message.content)
+            + b"\0"
             for message in parsed.messages
         )
     if parsed.prompt is None:
         raise bad_request("prompt is missing")
-    return _flatten(parsed.prompt)
+    return _encode_content(parsed.prompt)
 
 
-def _flatten(content: Any) -> bytes:
+def _encode_content(content: Any) -> bytes:
     if isinstance(content, str):
         return content.encode()
     return msgspec.json.encode(content)
 
 
-def _parse_mark(request: Request) -> bool:
+def _parse_unrepeatable(request: Request) -> bool:
     value = (header(request, UNREPEATABLE_HEADER) or "false").lower()
     if value not in ("true", "false"):
         raise bad_request(f"{UNREPEATABLE_HEADER} must be true or false")
     return value == "true"
 
 
-def _is_good_key(key: str) -> bool:
-    fits = 0 < len(key) <= MAX_KEY_LENGTH
-    return fits and key.isascii() and key.isprintable()
+def _is_valid_key(key: str) -> bool:
+    is_valid_length = 0 < len(key) <= MAX_KEY_LENGTH
+    return is_valid_length and key.isascii() and key.isprintable()
 
 
 def _parse_deadline(
@@ -318,10 +323,10 @@
         seconds = float(text)
     except ValueError:
         seconds = math.nan
-    # A comparison with NaN is false, so NaN is refused here too.
+    # A comparison with NaN is false, so NaN is rejected too.
     if not 0 < seconds <= settings.limits.max_deadline_seconds:
         raise bad_request(
-            f"{DEADLINE_HEADER} must be a number of seconds above 0 and up "
-            f"to {settings.limits.max_deadline_seconds:g}"
+            f"{DEADLINE_HEADER} must be a number of seconds above 0 and at "
+            f"most {settings.limits.max_deadline_seconds:g}"
         )
     return seconds
--- a/burdockdrum/web/peer_face.py
+++ b/burdockdrum/web/peer_handlers.py
@@ -1,4 +1,4 @@
-"""What other entry VMs use: requests passed on between data centres."""
+"""The handler for requests forwarded by entry VMs of other data centres."""
 
 from blacksheep.messages import Request
 from blacksheep.messages import Response
@@ -17,8 +17,8 @@
 from burdockdrum.web.streaming import respond
 
 
-class PeerFace:
-    """The handler of requests that another data centre passed on."""
+class PeerHandlers:
+    """The handler for requests forwarded by another data centre."""
 
     def __init__(
         self,
@@ -37,8 +37,8 @@
     async def forward(self, request: Request, request_id: str) -> Response:
         """Serve POST /v1/forward.
 
-        The request is checked again here, residency and hops included: the
-        sender's view may be older than this VM's.
+        The request is checked again, including residency and hop count, as
+        the sender's configuration may be older than this VM's.
         """
         body = await read_body(request, self._limit)
         text = header(request, FORWARD_HEADER) or ""
@@ -46,7 +46,7 @@
         if forwarded is None:
             raise Refusal(
                 code=RefusalCode.UNAUTHENTICATED,
-                message="the forward header is missing or not sealed",
+                message="the forward header is missing or has no valid seal",
                 verdict=Verdict.NOT_RUN,
             )
         inbound = forwarded.to_request(body, now=self._clock.monotonic())
--- a/burdockdrum/web/quarantine_face.py
+++ b/burdockdrum/web/quarantine_handlers.py
@@ -1,4 +1,4 @@
-"""What operators use to see and lift quarantines."""
+"""Handlers for operators who list and lift quarantines."""
 
 from blacksheep.messages import Request
 from blacksheep.messages import Response
@@ -8,12 +8,12 @@
 from burdockdrum.verdicts import RefusalCode
 from burdockdrum.verdicts import Verdict
 from burdockdrum.web.authentication import Authenticator
-from burdockdrum.web.reading import route_value
+from burdockdrum.web.reading import path_parameter
 from burdockdrum.web.responses import json_response
 
 
-class QuarantineFace:
-    """The handlers of operators' requests about crashing requests."""
+class QuarantineHandlers:
+    """Handlers for the quarantine of requests that crash endpoints."""
 
     def __init__(
         self, *, authenticator: Authenticator, quarantine: Quarantine
@@ -23,19 +23,19 @@
         self._quarantine = quarantine
 
     async def list(self, request: Request, request_id: str) -> Response:
-        """Serve GET /v1/quarantine: what this VM suspects and refuses."""
+        """Serve GET /v1/quarantine: suspect and quarantined requests."""
         self._authenticator.find_operator(request)
         return json_response(self._quarantine.entries())
 
     async def lift(self, request: Request, request_id: str) -> Response:
-        """Serve DELETE /v1/quarantine/FINGERPRINT, for all VMs."""
+        """Serve DELETE /v1/quarantine/FINGERPRINT: lift it on all VMs."""
         self._authenticator.find_operator(request)
-        fingerprint = route_value(request, "fingerprint")
+        fingerprint = path_parameter(request, "fingerprint")
         if not self._quarantine.lift(fingerprint):
             raise Refusal(
                 code=RefusalCode.NOT_FOUND,
                 message=f"{fingerprint!r} is neither suspect nor quarantined "
-                "here; other VMs were told to lift it all the same",
+                "here; the order to lift it was sent to other VMs anyway",
                 verdict=Verdict.NOT_RUN,
             )
         return Response(204)
--- a/burdockdrum/web/reading.py
+++ b/burdockdrum/web/reading.py
@@ -1,4 +1,4 @@
-"""Read what a caller sent, within bounds."""
+"""Read bodies, headers and parameters of requests."""
 
 from typing import TypeVar
 
@@ -13,7 +13,7 @@
 
 
 def bad_request(message: str) -> Refusal:
-    """Return the refusal of a request whose form is wrong."""
+    """Return the refusal of a malformed request."""
     return Refusal(
         code=RefusalCode.BAD_REQUEST,
         message=message,
@@ -22,9 +22,9 @@
 
 
 async def read_body(request: Request, limit: int) -> bytes:
-    """Read a body of at most so many bytes.
+    """Read a body of at most ``limit`` bytes.
 
-    :raises Refusal: if it is larger, before the rest has been read
+    :raises Refusal: if it is larger, without reading the rest
     """
     declared = header(request, "content-length")
     if declared is not None and declared.isdigit() and int(declared) > limit:
@@ -40,31 +40,31 @@
 
 
 async def read_json(request: Request, limit: int, expected: type[T]) -> T:
-    """Read a JSON body of a type.
+    """Read a JSON body of the expected type.
 
-    :raises Refusal: naming the field that is wrong
+    :raises Refusal: naming the invalid field
     """
     body = await read_body(request, limit)
     try:
         return msgspec.json.decode(body, type=expected)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise bad_request(f"the body is not as expected: {error}") from None
+        raise bad_request(f"the body is invalid: {error}") from None
 
 
 def header(request: Request, name: str) -> str | None:
-    """Return the first header of that name."""
+    """Return the first header of a name, None if there is none."""
     value = request.get_first_header(name.encode())
     return value.decode("latin-1") if value is not None else None
 
 
-def query(request: Request, name: str) -> str | None:
-    """Return the first query parameter of that name."""
+def query_parameter(request: Request, name: str) -> str | None:
+    """Return the first query parameter of a name, None if there is none."""
     values = request.query.get(name)
     return values[0] if values else None
 
 
-def route_value(request: Request, name: str) -> str:
-    """Return the part of the path that a route names."""
+def path_parameter(request: Request, name: str) -> str:
+    """Return a parameter of the route's path, empty if there is none."""
     values = request.route_values or {}
     return values.get(name) or ""
 
--- a/burdockdrum/web/responses.py
+++ b/burdockdrum/web/responses.py
@@ -1,4 +1,4 @@
-"""Answers in JSON, and refusals with their verdict."""
+"""JSON and text responses, and responses for refusals."""
 
 import math
 import secrets
@@ -16,7 +16,7 @@
 
 
 class RefusalBody(msgspec.Struct, frozen=True, kw_only=True):
-    """A refusal as a caller reads it."""
+    """The JSON representation of a refusal."""
 
     code: str
     message: str
@@ -24,35 +24,35 @@
     verdict: str
 
 
-class _Wrapped(msgspec.Struct, frozen=True):
+class _ErrorBody(msgspec.Struct, frozen=True):
     error: RefusalBody
 
 
 def make_request_id() -> str:
-    """Return an id that no other request has."""
+    """Return a random request id."""
     return f"req-{secrets.token_hex(10)}"
 
 
 def json_response(value: Any, *, status: int = 200) -> Response:
-    """Encode a value as JSON."""
+    """Return a response with a value encoded as JSON."""
     content = Content(b"application/json", msgspec.json.encode(value))
     return Response(status, None, content)
 
 
 def text_response(text: str) -> Response:
-    """Return plain text."""
+    """Return a plain text response."""
     return Response(200, None, Content(b"text/plain", text.encode()))
 
 
 def refusal_response(refusal: Refusal, request_id: str) -> Response:
-    """Tell a caller why there is no answer and whether it may have run."""
+    """Return the response for a refusal, with its code and verdict."""
     body = RefusalBody(
         code=refusal.code.value,
         message=refusal.message,
         request_id=request_id,
         verdict=refusal.verdict.value,
     )
-    response = json_response(_Wrapped(body), status=refusal.status)
+    response = json_response(_ErrorBody(body), status=refusal.status)
     response.add_header(REQUEST_ID_HEADER, request_id.encode())
     response.add_header(_VERDICT_HEADER, refusal.verdict.value.encode())
     if refusal.retry_after is not None:
--- a/burdockdrum/web/server.py
+++ b/burdockdrum/web/server.py
@@ -1,4 +1,4 @@
-"""Run the application under uvicorn inside the daemon's event loop."""
+"""Run the application with uvicorn in the daemon's event loop."""
 
 import asyncio
 from collections.abc import Iterator
@@ -9,26 +9,26 @@
 import uvicorn
 
 BACKLOG = 1024
-_TICKS_A_SECOND = 10
+_TICKS_PER_SECOND = 10
 
 
 class _Server(uvicorn.Server):
-    """uvicorn without its signal handlers: the daemon has its own."""
+    """uvicorn without its signal handlers, as the daemon has its own."""
 
     def __init__(self, config: uvicorn.Config) -> None:
         super().__init__(config)
         self.stopping = asyncio.Event()
 
     async def main_loop(self) -> None:
-        """Keep the date header until told to stop.
+        """Update the date header once a second until stopped.
 
-        uvicorn's own loop wakes up ten times a second to look whether it
-        should stop.
+        Replaces uvicorn's loop, which polls for the stop flag ten times a
+        second.
         """
         tick = 0
         while not await self.on_tick(tick):
-            # uvicorn makes the header anew at each tenth tick.
-            tick += _TICKS_A_SECOND
+            # uvicorn updates the header at every tenth tick.
+            tick += _TICKS_PER_SECOND
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(1.0):
                     await self.stopping.wait()
@@ -49,7 +49,7 @@
         certificate_file: str | None = None,
         key_file: str | None = None,
     ) -> None:
-        """Take over a bound socket."""
+        """Create a server for a bound socket."""
         self.stopped = asyncio.Event()
         self._application = application
         self._listener = listener
@@ -66,7 +66,7 @@
         )
 
     async def run(self) -> None:
-        """Serve until ``stop`` is called and every answer is finished."""
+        """Serve until ``stop`` is called and every response is sent."""
         await self._application.start()
         try:
             await self._server.serve(sockets=[self._listener])
@@ -78,19 +78,19 @@
             self.stopped.set()
 
     def stop(self) -> None:
-        """Accept no new connection; running answers are finished."""
+        """Stop accepting connections and finish the running requests."""
         self._server.should_exit = True
         self._server.stopping.set()
 
 
 def bind(host: str, port: int) -> socket.socket:
-    """Return a listening socket; port 0 takes a free one."""
+    """Return a bound socket; port 0 selects a free one."""
     listener = socket.socket(
         socket.AF_INET6 if ":" in host else socket.AF_INET,
         socket.SOCK_STREAM,
-        # asyncio turns off Nagle's algorithm only where the protocol is
-        # named: without it the second write of an answer waits 40 ms for
-        # the caller's delayed acknowledgement.
+        # asyncio sets TCP_NODELAY only if the protocol is given. With
+        # Nagle's algorithm the second write of a response waits for the
+        # peer's delayed acknowledgement, about 40 ms.
         socket.IPPROTO_TCP,
     )
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/burdockdrum/web/services.py
+++ b/burdockdrum/web/services.py
@@ -1,4 +1,4 @@
-"""Name the services of this package."""
+"""Register the services of this package."""
 
 import random
 
@@ -21,16 +21,16 @@
 from burdockdrum.vms import VmDirectory
 from burdockdrum.web.application import build_application
 from burdockdrum.web.authentication import Authenticator
-from burdockdrum.web.callers import CallerFace
-from burdockdrum.web.control_face import ControlFace
-from burdockdrum.web.endpoint_face import EndpointFace
-from burdockdrum.web.operators import OperatorFace
-from burdockdrum.web.peer_face import PeerFace
-from burdockdrum.web.quarantine_face import QuarantineFace
+from burdockdrum.web.caller_handlers import CallerHandlers
+from burdockdrum.web.control_handlers import ControlHandlers
+from burdockdrum.web.endpoint_handlers import EndpointHandlers
+from burdockdrum.web.operator_handlers import OperatorHandlers
+from burdockdrum.web.peer_handlers import PeerHandlers
+from burdockdrum.web.quarantine_handlers import QuarantineHandlers
 
 
 def add_services(kernel: Kernel) -> None:
-    """Name the ASGI application; what serves it is named elsewhere."""
+    """Register the ASGI application."""
     kernel.add("application", _build_application)
 
 
@@ -42,7 +42,7 @@
     )
     return build_application(
         callers=_build_callers(kernel, authenticator),
-        endpoints=EndpointFace(
+        endpoints=EndpointHandlers(
             settings=kernel.find("settings", Settings),
             authenticator=authenticator,
             endpoints=kernel.find("endpoints", EndpointRegistry),
@@ -50,11 +50,11 @@
         ),
         operators=_build_operators(kernel, authenticator),
         control=_build_control(kernel, authenticator),
-        quarantine=QuarantineFace(
+        quarantine=QuarantineHandlers(
             authenticator=authenticator,
             quarantine=kernel.find("quarantine", Quarantine),
         ),
-        peers=PeerFace(
+        peers=PeerHandlers(
             settings=kernel.find("settings", Settings),
             seal=kernel.find("seal", Seal),
             clock=kernel.find("clock", Clock),
@@ -64,8 +64,10 @@
     )
 
 
-def _build_callers(kernel: Kernel, authenticator: Authenticator) -> CallerFace:
-    return CallerFace(
+def _build_callers(
+    kernel: Kernel, authenticator: Authenticator
+) -> CallerHandlers:
+    return CallerHandlers(
         settings=kernel.find("settings", Settings),
         clock=kernel.find("clock", Clock),
         rng=kernel.find("random", random.Random),
@@ -79,10 +81,10 @@
 
 def _build_control(
     kernel: Kernel, authenticator: Authenticator
-) -> ControlFace:
+) -> ControlHandlers:
     settings = kernel.find("settings", Settings)
     has_log = kernel.has("log")
-    return ControlFace(
+    return ControlHandlers(
         authenticator=authenticator,
         log=kernel.find("log", ReplicatedLog) if has_log else None,
         control_ids=list(settings.control.members),
@@ -92,8 +94,8 @@
 
 def _build_operators(
     kernel: Kernel, authenticator: Authenticator
-) -> OperatorFace:
-    return OperatorFace(
+) -> OperatorHandlers:
+    return OperatorHandlers(
         settings=kernel.find("settings", Settings),
         authenticator=authenticator,
         configuration=kernel.find("configuration", ConfigurationService),
--- a/burdockdrum/web/streaming.py
+++ b/burdockdrum/web/streaming.py
@@ -1,4 +1,4 @@
-"""Send an answer while watching whether the caller is still there."""
+"""Send responses and cancel them when the caller disconnects."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -15,36 +15,36 @@
 from burdockdrum.web.responses import refusal_response
 from burdockdrum.web.responses import REQUEST_ID_HEADER
 
-# What the log of a proxy usually shows; the caller is not there to see it.
-STATUS_CALLER_GONE = 499
+# The status that proxies log for a closed connection; it is never received.
+STATUS_CLIENT_CLOSED_REQUEST = 499
 _DISCONNECT = "http.disconnect"
 
 
-class CallerWatch:
-    """Interrupt the wait for an answer once its caller has gone.
+class DisconnectWatcher:
+    """Cancels the wait for the upstream when the caller disconnects.
 
-    uvicorn does not tell a stream that its connection has closed: without
-    the watch an engine would generate to the end for nobody. One task waits
-    for the end of the connection, for the whole answer; it cancels only a
-    wait for the upstream, as a wait in the server ends by itself.
+    uvicorn does not notify a stream of a closed connection, so that an
+    engine would generate the whole response. A task waits for the
+    disconnect; it cancels only a wait for the upstream, as uvicorn ends
+    its own waits.
     """
 
     def __init__(self, *, request: Request) -> None:
-        """Begin to watch, in the task that serves the request."""
-        self.gone = False
-        self.waiting = False
-        self._serving = asyncio.current_task()
-        self._watching = asyncio.create_task(self._watch(request))
+        """Start watching; call it in the task that serves the request."""
+        self.disconnected = False
+        self.awaiting_upstream = False
+        self._serving_task = asyncio.current_task()
+        self._watching_task = asyncio.create_task(self._watch(request))
 
     def stop(self) -> None:
-        """End the watch."""
-        self._watching.cancel()
+        """Stop watching."""
+        self._watching_task.cancel()
 
-    def absorb(self) -> bool:
-        """Say whether a cancellation was this watch's own, and undo it."""
-        if not self.gone or self._serving is None:
+    def absorb_cancellation(self) -> bool:
+        """Undo a cancellation by this watcher; return whether it was one."""
+        if not self.disconnected or self._serving_task is None:
             return False
-        self._serving.uncancel()
+        self._serving_task.uncancel()
         return True
 
     async def _watch(self, request: Request) -> None:
@@ -52,9 +52,9 @@
         message = await receive()
         while message["type"] != _DISCONNECT:
             message = await receive()
-        self.gone = True
-        if self.waiting and self._serving is not None:
-            self._serving.cancel()
+        self.disconnected = True
+        if self.awaiting_upstream and self._serving_task is not None:
+            self._serving_task.cancel()
 
 
 async def respond(
@@ -65,63 +65,64 @@
 ) -> Response:
     """Serve a request whose body has been read.
 
-    A refusal from here on is answered with the verdict that it bears.
+    Refusals are sent with their own verdict, which ``guard`` must not
+    change any more.
     """
-    watch = CallerWatch(request=request)
-    watch.waiting = True
+    watcher = DisconnectWatcher(request=request)
+    watcher.awaiting_upstream = True
     try:
-        answer = await requests.handle(inbound)
+        reply = await requests.handle(inbound)
     except asyncio.CancelledError:
-        watch.stop()
-        if watch.absorb():
-            return Response(STATUS_CALLER_GONE)
+        watcher.stop()
+        if watcher.absorb_cancellation():
+            return Response(STATUS_CLIENT_CLOSED_REQUEST)
         raise
     except Refusal as refusal:
-        watch.stop()
+        watcher.stop()
         return refusal_response(refusal, request_id)
     except BaseException:
-        watch.stop()
+        watcher.stop()
         raise
-    watch.waiting = False
+    watcher.awaiting_upstream = False
     headers = [(REQUEST_ID_HEADER, request_id.encode())]
-    for name, value in answer.headers.items():
+    for name, value in reply.headers.items():
         headers.append((name.encode(), value.encode("latin-1")))
-    content_type = answer.content_type.encode("latin-1")
-    if isinstance(answer.body, bytes):
-        watch.stop()
-        content = Content(content_type, answer.body)
-        return Response(answer.status, headers, content)
-    streamed = StreamedContent(content_type, _stream(watch, answer.body))
-    return Response(answer.status, headers, streamed)
+    content_type = reply.content_type.encode("latin-1")
+    if isinstance(reply.body, bytes):
+        watcher.stop()
+        content = Content(content_type, reply.body)
+        return Response(reply.status, headers, content)
+    streamed = StreamedContent(content_type, _make_body(watcher, reply.body))
+    return Response(reply.status, headers, streamed)
 
 
-def watch_stream(
+def stream_until_disconnect(
     request: Request, parts: AsyncIterator[bytes]
 ) -> Callable[[], AsyncIterator[bytes]]:
-    """Return the body of an answer that ends once its caller has gone."""
-    return _stream(CallerWatch(request=request), parts)
+    """Return a response body that ends when its caller disconnects."""
+    return _make_body(DisconnectWatcher(request=request), parts)
 
 
-def _stream(
-    watch: CallerWatch, parts: AsyncIterator[bytes]
+def _make_body(
+    watcher: DisconnectWatcher, parts: AsyncIterator[bytes]
 ) -> Callable[[], AsyncIterator[bytes]]:
-    """Return what yields the parts until the caller has gone."""
+    """Return a generator function that yields parts until a disconnect."""
 
     async def body() -> AsyncIterator[bytes]:
         try:
-            while not watch.gone:
-                watch.waiting = True
+            while not watcher.disconnected:
+                watcher.awaiting_upstream = True
                 part = await anext(parts, None)
-                watch.waiting = False
+                watcher.awaiting_upstream = False
                 if part is None:
                     break
                 yield part
         except asyncio.CancelledError:
-            if not watch.absorb():
+            if not watcher.absorb_cancellation():
                 raise
         finally:
-            watch.waiting = False
-            watch.stop()
+            watcher.awaiting_upstream = False
+            watcher.stop()
             close = getattr(parts, "aclose", None)
             if close is not None:
                 await close()
--- a/tests/web/__init__.py
+++ b/tests/web/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the HTTP faces."""
+"""Tests of the HTTP API."""
--- a/tests/web/test_authentication.py
+++ b/tests/web/test_authentication.py
@@ -1,4 +1,4 @@
-"""Tests of whose token a request of the own interface bears."""
+"""Tests of authentication by bearer token."""
 
 import unittest
 
@@ -16,7 +16,7 @@
 
 
 class ClientTokenTest(unittest.TestCase):
-    """Tokens are looked up where the pass-through looks them up."""
+    """Clients' tokens are looked up by the proxy's caller finder."""
 
     def setUp(self):
         vm = VmSettings(id="a", region="r", data_centre="d")
@@ -28,7 +28,7 @@
         )
 
     def refuse(self, token):
-        """Return the code of the refusal that a token gets."""
+        """Return the code of the refusal for a token."""
         request = Request(
             "GET", b"/", [(b"authorization", b"Bearer " + token)]
         )
@@ -36,11 +36,11 @@
             self.authenticator.find_client(request)
         return caught.exception.code
 
-    def test_no_refusal_for_good_by_old_knowledge(self):
-        """A VM that was cut off refuses a new client for good."""
+    def test_unknown_token_is_retryable_while_configuration_is_stale(self):
+        # A partitioned VM may not know a new client's token yet.
         self.assertIs(RefusalCode.UNAUTHENTICATED, self.refuse(b"new"))
         self.configuration.age = CERTAIN_SECONDS + 1
         self.assertIs(RefusalCode.CONFIGURATION_STALE, self.refuse(b"new"))
 
-    def test_team_of_the_routes_is_no_client(self):
+    def test_team_of_the_route_table_is_not_a_client(self):
         self.assertIs(RefusalCode.UNAUTHENTICATED, self.refuse(b"k"))
--- a/tests/web/test_callers.py
+++ b/tests/web/test_callers.py
@@ -1,4 +1,4 @@
-"""HARD CASE 23 at the callers' face: bad input is named, others go on."""
+"""HARD CASE 23 for the callers' API: invalid requests are rejected."""
 
 import unittest
 
@@ -12,8 +12,8 @@
 CHAT = "/v1/chat/completions"
 TEXT = "/v1/completions"
 
-# What is sent: path, body, headers; and what comes back: status, and a word
-# that names what is wrong.
+# Path, body and headers of a request; expected status and a word that the
+# error message contains.
 BAD_REQUESTS = [
     (TEXT, b"", {}, 400, "body"),
     (TEXT, b"{", {}, 400, "body"),
@@ -71,9 +71,9 @@
 
 
 class BadInputTest(unittest.TestCase):
-    """Each mistake gets a refusal that names it."""
+    """Each invalid request gets a refusal that names the error."""
 
-    def test_mistake_is_named_and_nothing_runs(self):
+    def test_invalid_request_is_rejected_and_does_not_run(self):
         async def scenario(stack, engine):
             for path, body, headers, status, word in BAD_REQUESTS:
                 with self.subTest(path=path, body=body, headers=headers):
@@ -91,7 +91,7 @@
 
         run_with_engine(scenario)
 
-    def test_body_over_the_limit_is_refused(self):
+    def test_body_over_the_limit_is_rejected(self):
         async def scenario(stack, engine):
             body = {**GOOD, "prompt": "x" * 4 * 1024 * 1024}
             answer, text = await send(stack, TEXT, body, {})
@@ -101,9 +101,8 @@
 
         run_with_engine(scenario)
 
-    def test_refusal_of_a_keyed_request_admits_an_earlier_run(self):
-        # The first copy may have run when the second one is malformed, or
-        # comes to a VM that does not know the caller yet.
+    def test_refusal_of_a_keyed_request_says_it_may_have_run(self):
+        # An earlier request with the same key may have run.
         async def scenario(stack, engine):
             headers = {"idempotency-key": "k", "authorization": "Bearer no"}
             answer, _ = await send(stack, TEXT, GOOD, headers)
--- a/tests/web/test_control_face.py
+++ b/tests/web/test_control_face.py
@@ -1,4 +1,4 @@
-"""A control VM gets a new disk, through the operators' face."""
+"""Tests of replacing a control VM's disk by the operators' API."""
 
 import asyncio
 import unittest
@@ -16,7 +16,7 @@
 
 
 class ControlFaceTest(unittest.TestCase):
-    """Three control VMs and one without a disk."""
+    """Three control VMs, and one VM that is not one."""
 
     def run_deployment(self, scenario):
         async def main():
@@ -42,9 +42,8 @@
         return answer.status, msgspec.json.decode(await read_whole(answer))
 
     def test_lost_disk_is_replaced(self):
-        # A control VM comes back with an empty disk. It is shown waiting,
-        # with its new disk's id; removed and added again under that id it
-        # becomes a voter, and never counted in between.
+        # A control VM that restarts with an empty disk must not vote until
+        # it was removed and added again with the id of its new disk.
         async def scenario(deployment):
             await deployment.crash(LOST)
             deployment.cluster.disks_by_vm_id[LOST].wipe()
@@ -75,7 +74,7 @@
 
         self.run_deployment(scenario)
 
-    def test_other_vm_names_whom_to_ask(self):
+    def test_other_vm_names_the_control_vms(self):
         async def scenario(deployment):
             status, refused = await self.call(deployment, OTHER_ID, "GET")
             self.assertEqual(404, status)
--- a/tests/web/test_operators.py
+++ b/tests/web/test_operators.py
@@ -1,4 +1,4 @@
-"""What operators see: changes, watches, status, and what is refused."""
+"""Tests of the operators' API: changes, watches and status."""
 
 import asyncio
 import random
@@ -26,14 +26,14 @@
 
 
 class Operator:
-    """An operator at one entry VM."""
+    """An operator who uses one entry VM."""
 
     def __init__(self, deployment: Deployment, vm_id: str) -> None:
         self._http = deployment.cluster.client("operator")
         self._url = deployment.url(vm_id)
 
     async def open(self, method, path, body=b"", **headers):
-        """Send a request and return the open answer."""
+        """Send a request and return the unread response."""
         headers["authorization"] = f"Bearer {OPERATOR_TOKEN}"
         return await self._http.open(
             UpstreamCall(
@@ -70,14 +70,14 @@
                 seed=4, vm_ids=VM_IDS, control_ids=["n1.1"]
             )
             await deployment.start()
-            # The entry that holds no state serves operators as well.
+            # Operators are served by a VM that is not a control VM.
             await scenario(deployment, Operator(deployment, "s1.1"))
             await deployment.stop()
 
         run_virtual(main())
 
     async def read_events(self, answer, count: int) -> list[dict]:
-        """Read so many events of a watch, ids included, and hang up."""
+        """Read events of a watch with their ids, and disconnect."""
         buffer = b""
         async for chunk in answer.chunks():
             buffer += chunk
@@ -96,9 +96,9 @@
         async def scenario(deployment, operator):
             status, made = await operator.put("north")
             self.assertEqual((200, 1), (status, made["revision"]))
-            status, lost = await operator.put("north", "late")
+            status, conflict = await operator.put("north", "late")
             self.assertEqual(409, status)
-            self.assertEqual(made["current"], lost["current"])
+            self.assertEqual(made["current"], conflict["current"])
 
         self.run_operator(scenario)
 
@@ -120,9 +120,8 @@
 
         self.run_operator(scenario)
 
-    def test_change_without_control_vm_is_refused_in_doubt(self):
-        # The entry can't reach the control VM. The operator must not read
-        # "not run": the change may have got there, only its answer did not.
+    def test_change_may_have_run_if_the_control_vm_is_unreachable(self):
+        # The change may have been applied and only its response lost.
         async def scenario(deployment, operator):
             deployment.cut(["s1.1"])
             status, found = await operator.put("north")
@@ -132,10 +131,9 @@
 
         self.run_operator(scenario)
 
-    def test_watch_goes_on_where_it_broke(self):
-        # An operator's watch breaks after the first event. It comes back
-        # with that event's id and misses nothing: neither the later change
-        # nor the deletion of what it had seen.
+    def test_interrupted_watch_resumes_without_a_gap(self):
+        # A watch resumed after the first event must also receive the later
+        # changes, including deletions.
         async def scenario(deployment, operator):
             await operator.put("north")
             await operator.put("south")
@@ -159,9 +157,8 @@
 
         self.run_operator(scenario)
 
-    def test_watch_from_too_old_a_revision_is_told_so(self):
-        # The changes since are kept no more. Going on as if nothing were
-        # missing would leave the operator with a wrong picture.
+    def test_watch_from_a_discarded_revision_is_rejected(self):
+        # Resuming would silently skip the discarded changes.
         async def scenario(deployment, operator):
             for number in range(6):
                 await operator.put(f"r{number}")
@@ -175,7 +172,7 @@
         with mock.patch.object(history, "KEPT_REVISIONS", 3):
             self.run_operator(scenario)
 
-    def test_status_tells_age_and_where_revisions_are_in_force(self):
+    def test_status_shows_configuration_age_and_revisions_in_force(self):
         async def scenario(deployment, operator):
             await operator.put("north")
             await asyncio.sleep(3)
@@ -199,11 +196,10 @@
 
 
 class WatchSocketTest(unittest.IsolatedAsyncioTestCase):
-    """A watch over a real socket, where a stream isn't told of its end."""
+    """A watch over a real socket, where streams aren't notified of its end."""
 
-    async def test_watch_whose_operator_is_gone_is_removed(self):
-        # The operator hangs up while nothing changes. The watch must not
-        # stay until the next change, or idle watches would pile up.
+    async def test_watch_ends_when_the_operator_disconnects(self):
+        # Otherwise abandoned watches would accumulate until a change.
         settings = read_settings(
             Deployment(seed=1, vm_ids=["n1.1"], control_ids=["n1.1"]).settings(
                 "n1.1"
--- a/tests/web/test_sockets.py
+++ b/tests/web/test_sockets.py
@@ -1,4 +1,4 @@
-"""The callers' face over real sockets on loopback."""
+"""Tests of the callers' API over sockets on the loopback interface."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 
 
 class SocketTest(unittest.IsolatedAsyncioTestCase):
-    """What a library's parser refuses never reaches another caller."""
+    """Malformed requests do not affect other connections."""
 
     async def asyncSetUp(self):
         settings = Stack().settings("a1")
@@ -51,7 +51,7 @@
         await self.running
 
     async def send(self, *parts):
-        """Send raw bytes and return all that comes back."""
+        """Send raw bytes and return the response."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         try:
             for part in parts:
@@ -64,7 +64,7 @@
         finally:
             writer.close()
 
-    async def test_garbage_and_half_requests_harm_nobody_else(self):
+    async def test_malformed_request_does_not_affect_others(self):
         _, half = await asyncio.open_connection("127.0.0.1", self.port)
         half.write(b"POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-")
         self.assertIn(b" 400 ", await self.send(b"\x00\xff garbage\r\n\r\n"))
@@ -73,15 +73,15 @@
             self.assertIn(b" 401 ", await self.send(head))
         half.close()
 
-    async def test_declared_body_over_the_limit(self):
+    async def test_declared_body_over_the_limit_is_rejected(self):
         head = (
             b"POST /v1/forward HTTP/1.1\r\nhost: x\r\n"
             b"content-length: %d\r\n\r\n" % (LIMIT_BYTES + 1)
         )
-        # The refusal comes before the body has been sent.
+        # The refusal is sent before the body was received.
         self.assertIn(b" 413 ", await self.send(head))
 
-    async def test_chunked_body_over_the_limit(self):
+    async def test_chunked_body_over_the_limit_is_rejected(self):
         head = (
             b"POST /v1/forward HTTP/1.1\r\nhost: x\r\n"
             b"transfer-encoding: chunked\r\n\r\n"
