--- a/burdockdrum/emulator/__init__.py
+++ b/burdockdrum/emulator/__init__.py
@@ -1,7 +1,7 @@
-"""Stand-ins for what the gateway serves: engines and plain services.
+"""Emulated endpoints: model engines and plain services.
 
-They speak the same HTTP as the real ones, over a core that also runs in
-memory under virtual time.
+They implement the HTTP API of real endpoints without a model, and also run in
+memory under virtual time, so that tests need no sockets and no waiting.
 """
 
 from burdockdrum.emulator.announcer import Announcer
@@ -16,9 +16,9 @@
 from burdockdrum.emulator.engine import EngineFailed
 from burdockdrum.emulator.engine import EngineSettings
 from burdockdrum.emulator.engine import Fault
-from burdockdrum.emulator.orders import OldFencingNumber
 from burdockdrum.emulator.orders import Order
 from burdockdrum.emulator.orders import OrderBook
+from burdockdrum.emulator.orders import StaleFencingNumber
 from burdockdrum.emulator.orders import WeightStore
 from burdockdrum.emulator.plain import PlainService
 from burdockdrum.emulator.prefix_cache import PrefixCache
@@ -35,11 +35,11 @@
     "Fault",
     "make_answer",
     "make_token",
-    "OldFencingNumber",
     "Order",
     "OrderBook",
     "PlainService",
     "PrefixCache",
+    "StaleFencingNumber",
     "WeightStore",
     "Work",
 ]
--- a/burdockdrum/emulator/__main__.py
+++ b/burdockdrum/emulator/__main__.py
@@ -108,7 +108,7 @@
         ),
         clock=SystemClock(),
         rng=random.Random(),
-        # Nothing is flushed or finished: streams are cut as by a crash.
+        # Exits without cleanup, so that open streams break as in a crash.
         on_crash=lambda: os._exit(EXIT_CRASHED),
     )
     engine.fault = Fault(arguments["--fault"])
@@ -130,7 +130,7 @@
 
 
 def main() -> int:
-    """Run the stand-in until a signal ends it.
+    """Run the emulated endpoint until SIGTERM or SIGINT.
 
     :returns: the exit code
     """
--- a/burdockdrum/emulator/announcer.py
+++ b/burdockdrum/emulator/announcer.py
@@ -1,4 +1,4 @@
-"""Tell the entry VMs that a stand-in is there."""
+"""Registers an emulated endpoint with the entry VMs and reports its load."""
 
 from collections.abc import Callable
 
@@ -18,15 +18,15 @@
 from burdockdrum.ports import read_whole
 from burdockdrum.ports import UpstreamCall
 
-RETRY_SECONDS = 0.5
-TIMEOUT_SECONDS = 2.0
+RETRY_INTERVAL_SECONDS = 0.5
+REQUEST_TIMEOUT_SECONDS = 2.0
 
 
 class Announcer:
-    """Announce and report to one entry VM, and to another if it is silent.
+    """Announces to one entry VM and fails over when it does not respond.
 
-    The entry VMs of a data centre tell each other: were each told of each
-    endpoint by itself, each would publish all of them.
+    The entry VMs of a data centre share what they receive. Announcing to
+    each of them would make each one publish the endpoint.
     """
 
     def __init__(
@@ -44,10 +44,11 @@
     ) -> None:
         """Create an announcer.
 
-        :param read_load: returns the running and the waiting requests
-        :param cache: whose events are reported, if any
-        :param orders: what is loaded, if reported
-        :param load_age_seconds: how old the figures of read_load are
+        :param read_load: returns the number of running and of waiting
+            requests
+        :param cache: prefix cache whose events are reported, if any
+        :param orders: loaded versions and adapters to report, if any
+        :param load_age_seconds: age of the load that ``read_load`` returns
         """
         self._http = http
         self._clock = clock
@@ -61,7 +62,7 @@
         self._sequence = 0
 
     async def run(self) -> None:
-        """Keep one entry VM informed until cancelled."""
+        """Announce once, then report at each interval, until cancelled."""
         grant: LeaseGrant | None = None
         while True:
             if grant is None or not grant.known:
@@ -69,12 +70,12 @@
             else:
                 grant = await self._report(grant.resync)
             if grant is None:
-                self._move_on()
-            pause = grant.report_seconds if grant else RETRY_SECONDS
-            await self._clock.sleep(pause)
+                self._rotate_entries()
+            delay = grant.report_seconds if grant else RETRY_INTERVAL_SECONDS
+            await self._clock.sleep(delay)
 
     async def leave(self) -> None:
-        """Ask for no new work, now and with every message from now on."""
+        """Announce draining in this and all later messages."""
         self._announcement = msgspec.structs.replace(
             self._announcement, leaving=True
         )
@@ -85,8 +86,8 @@
         for entry in self._entries:
             await self._post(f"{entry}/v1/endpoints/{name}/leave", body)
 
-    def _move_on(self) -> None:
-        """Turn to the next entry VM; the silent one comes last."""
+    def _rotate_entries(self) -> None:
+        """Move the unreachable entry VM to the end of the list."""
         self._entries.append(self._entries.pop(0))
 
     async def _announce(self) -> LeaseGrant | None:
@@ -114,7 +115,7 @@
             running=running,
             waiting=waiting,
             age_seconds=self._load_age_seconds,
-            cache_events=self._take_cache_events(resync),
+            cache_events=self._collect_cache_events(resync),
             cache_sequence=self._cache.sequence if self._cache else 0,
             cache_complete=resync and self._cache is not None,
             versions=sorted(orders.versions) if orders else None,
@@ -123,8 +124,8 @@
             leaving=self._announcement.leaving,
         )
 
-    def _take_cache_events(self, resync: bool) -> list[CacheEvent]:
-        """Return what the entry VM has not been told yet."""
+    def _collect_cache_events(self, resync: bool) -> list[CacheEvent]:
+        """Return the unreported events, or the whole cache for a resync."""
         if self._cache is None:
             return []
         events = self._cache.take_events()
@@ -139,16 +140,16 @@
                 "authorization": f"Bearer {self._token}",
             },
             body=body,
-            head_timeout=TIMEOUT_SECONDS,
+            head_timeout=REQUEST_TIMEOUT_SECONDS,
         )
         try:
             answer = await self._http.open(call)
             body = await read_whole(answer)
         except (ConnectFailed, AnswerLost) as error:
-            logger.debug("{} did not answer: {}", url, error)
+            logger.debug("No response from {}: {}", url, error)
             return None
         if answer.status != 200:
-            logger.warning("{} answered {}", url, answer.status)
+            logger.warning("{} responded with status {}", url, answer.status)
             return None
         try:
             return msgspec.json.decode(body, type=LeaseGrant)
--- a/burdockdrum/emulator/completions.py
+++ b/burdockdrum/emulator/completions.py
@@ -1,8 +1,7 @@
-"""Completions as an engine reads and answers them.
+"""Parsing of completion requests and encoding of their responses.
 
-Each token of an answer is made from a digest of the prompt and its own
-number, so that a test can tell a whole answer from one that lost, doubled
-or mixed tokens.
+Each token is derived from a digest of the prompt and the token's index, so
+that a test detects lost, duplicated or mixed-up tokens.
 """
 
 from collections.abc import AsyncIterator
@@ -20,9 +19,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Work:
-    """One completion as the engine understands it.
+    """A parsed completion request.
 
-    Lower ``rank`` leaves the engine's queue first.
+    Requests with a lower ``rank`` are scheduled first.
     """
 
     request_id: str
@@ -37,17 +36,17 @@
 
 
 def make_token(prompt: bytes, index: int) -> bytes:
-    """Return the token that answers a prompt at an offset."""
+    """Return the token at an index of the completion of a prompt."""
     digest = hashlib.blake2b(prompt, digest_size=3).hexdigest()
     return f"{digest}-{index} ".encode()
 
 
 def make_answer(prompt: bytes, count: int) -> str:
-    """Return the whole answer to a prompt."""
+    """Return the completion of a prompt with ``count`` tokens."""
     return b"".join(make_token(prompt, i) for i in range(count)).decode()
 
 
-def parse_work(
+def parse_request(
     body: bytes,
     *,
     chat: bool,
@@ -55,7 +54,7 @@
     resume_offset: int = 0,
     rank: int = 0,
 ) -> Work:
-    """Read a completion request.
+    """Parse a completion request.
 
     :raises msgspec.MsgspecError: if it is not JSON
     """
@@ -83,8 +82,8 @@
 ) -> AsyncIterator[bytes]:
     """Yield the server-sent events of a streamed completion.
 
-    Each event's id is the number of tokens sent with it, from which a
-    broken stream can be resumed.
+    Each event's id is the number of tokens sent so far, the offset from
+    which a broken stream can be resumed.
     """
     count = work.resume_offset
     async for token in tokens:
@@ -96,10 +95,10 @@
     yield DONE
 
 
-async def whole_answer(
+async def encode_completion(
     model: str, work: Work, tokens: AsyncIterator[bytes]
 ) -> bytes | None:
-    """Return the JSON of a whole completion, or None if cancelled."""
+    """Return the JSON of a buffered completion, or None if cancelled."""
     parts = [token async for token in tokens]
     if len(parts) + work.resume_offset < work.max_tokens:
         return None
--- a/burdockdrum/emulator/engine.py
+++ b/burdockdrum/emulator/engine.py
@@ -1,9 +1,10 @@
-"""An engine that batches continuously, without a model.
+"""Emulates the continuous batching of a model engine, without a model.
 
 Iteration-level scheduling as in Yu et al., "Orca" (OSDI 2022): requests
-join and leave the batch between two steps, and a step costs more the more
-sequences it holds. Prompts are read in chunks beside the running sequences
-(Agrawal et al., "Sarathi-Serve", OSDI 2024), but for the prefix in cache.
+join and leave the batch between two steps, and a step takes longer the more
+sequences it holds. Prompts are prefilled in chunks beside the decoding
+sequences (Agrawal et al., "Sarathi-Serve", OSDI 2024), except for the cached
+prefix.
 """
 
 import asyncio
@@ -22,25 +23,25 @@
 from burdockdrum.emulator.prefix_cache import PrefixCache
 from burdockdrum.ports import Clock
 
-# Tokens of a prompt in one block of the prefix cache.
+# Prompt tokens per block of the prefix cache.
 BLOCK_TOKENS = 128
 _SLOW_FACTOR = 10
 _HANG_POLL_SECONDS = 0.5
 
 
 class EngineCrashed(ConnectionError):
-    """The engine died: its streams are cut."""
+    """The engine crashed: its streams break off."""
 
 
 class EngineFailed(Exception):
-    """The engine answers with an error at once."""
+    """The engine fails every request immediately."""
 
 
 class Fault(enum.Enum):
-    """What is wrong with an engine.
+    """A fault to inject into an engine.
 
-    ``SILENT`` takes new requests and does nothing with them, so that it
-    reports itself idle; ``HANG`` stops in the middle of all its work.
+    ``SILENT`` accepts new requests without processing them, so that the
+    engine reports no load; ``HANG`` stops the processing of all requests.
     """
 
     NONE = "none"
@@ -52,13 +53,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EngineSettings:
-    """How fast the engine is and what it holds; times are in seconds.
+    """Speed and capacity of an engine; times are in seconds.
 
-    A step costs ``token_seconds``, ``sequence_seconds`` for each sequence
-    in the batch and ``prefill_seconds`` for each token of a prompt read in
-    it, of at most ``prefill_chunk``. ``steps_at_once`` above 1 lets a long
-    run of equal steps pass as one, which hands tokens out in bursts.
-    ``poison`` is the mark in a prompt that kills the engine.
+    A step takes ``token_seconds``, plus ``sequence_seconds`` for each
+    sequence in the batch, plus ``prefill_seconds`` for each of at most
+    ``prefill_chunk`` prompt tokens. ``steps_at_once`` above 1 merges up to
+    that many equal decode steps into one sleep; their tokens arrive together.
+    ``poison`` is a byte string that crashes the engine when a prompt has it.
     """
 
     service: str
@@ -76,12 +77,12 @@
 
 
 class _Job:
-    """One request in the queue or in the batch."""
+    """A request in the queue or in the batch."""
 
     def __init__(self, work: Work) -> None:
         self.work = work
-        self.produced = work.resume_offset
-        self.prefill_left = 0
+        self.tokens_produced = work.resume_offset
+        self.prefill_tokens_left = 0
         self.ended = False
         self.error: Exception | None = None
         self.changed = asyncio.Event()
@@ -93,7 +94,7 @@
 
 
 class EmulatedEngine:
-    """The batching core, behind HTTP or in memory."""
+    """An engine with continuous batching, used over HTTP or in memory."""
 
     def __init__(
         self,
@@ -105,7 +106,7 @@
     ) -> None:
         """Create an idle engine.
 
-        :param on_crash: called when the engine dies, to stop its server
+        :param on_crash: called when the engine crashes, to stop its server
         """
         self.settings = settings
         self.fault = Fault.NONE
@@ -124,11 +125,11 @@
         self._on_crash = on_crash
         self._batch: list[_Job] = []
         self._queue: list[tuple[int, int, _Job]] = []
-        self._order = itertools.count()
+        self._arrival_numbers = itertools.count()
         self._jobs_by_request_id: dict[str, _Job] = {}
-        self._disturbed = asyncio.Event()
-        self._loop: asyncio.Task[None] | None = None
-        self._loads: collections.deque[tuple[float, int, int]] = (
+        self._batch_changed = asyncio.Event()
+        self._batch_task: asyncio.Task[None] | None = None
+        self._load_history: collections.deque[tuple[float, int, int]] = (
             collections.deque([(-math.inf, 0, 0)])
         )
 
@@ -143,15 +144,17 @@
         return sum(not job.ended for _, _, job in self._queue)
 
     def read_reported_load(self) -> tuple[int, int]:
-        """Return running and waiting as they were ``report_lag`` ago."""
+        """Return the running and waiting counts of ``report_lag`` ago."""
         limit = self.clock.monotonic() - self.settings.report_lag
-        while len(self._loads) > 1 and self._loads[1][0] <= limit:
-            self._loads.popleft()
-        _, running, waiting = self._loads[0]
+        while (
+            len(self._load_history) > 1 and self._load_history[1][0] <= limit
+        ):
+            self._load_history.popleft()
+        _, running, waiting = self._load_history[0]
         return running, waiting
 
     def cancel(self, request_id: str) -> bool:
-        """Stop a request; say whether it was running or waiting."""
+        """Cancel a request; return whether it was running or waiting."""
         job = self._jobs_by_request_id.get(request_id)
         if job is None:
             return False
@@ -159,36 +162,36 @@
         return True
 
     def crash(self) -> None:
-        """Die: cut every stream and stop the server."""
+        """Crash: break off every stream and stop the server."""
         self.died.set()
         for job in list(self._jobs_by_request_id.values()):
-            job.end(EngineCrashed("the engine died"))
+            job.end(EngineCrashed("the engine crashed"))
         self._batch.clear()
         self._queue.clear()
         self._jobs_by_request_id.clear()
         self.cache.clear()
-        self._note_load()
-        if self._loop is not None:
-            self._loop.cancel()
-            self._loop = None
+        self._record_load()
+        if self._batch_task is not None:
+            self._batch_task.cancel()
+            self._batch_task = None
         if self._on_crash is not None:
             self._on_crash()
 
     def restart(self) -> None:
-        """Come back empty, as another incarnation."""
+        """Restart after a crash, without faults."""
         self.died.clear()
         self.fault = Fault.NONE
 
     async def generate(self, work: Work) -> AsyncGenerator[bytes, None]:
-        """Yield the tokens of a completion as they are made.
+        """Yield the tokens of a completion as they are generated.
 
-        It ends early if the request is cancelled.
+        The generator ends early if the request is cancelled.
 
-        :raises EngineCrashed: if the engine dies
+        :raises EngineCrashed: if the engine crashes
         :raises EngineFailed: if the fault is ``ERRORS``
         """
         if self.died.is_set():
-            raise EngineCrashed("the engine is dead")
+            raise EngineCrashed("the engine has crashed")
         if self.fault is Fault.ERRORS:
             raise EngineFailed("internal error")
         job = _Job(work)
@@ -197,7 +200,7 @@
         sent = work.resume_offset
         try:
             while True:
-                while sent < job.produced:
+                while sent < job.tokens_produced:
                     yield make_token(work.prompt, sent)
                     sent += 1
                 if job.error is not None:
@@ -212,13 +215,13 @@
     def _enqueue(self, job: _Job) -> None:
         if self.fault is Fault.SILENT:
             return
-        entry = (job.work.rank, next(self._order), job)
+        entry = (job.work.rank, next(self._arrival_numbers), job)
         heapq.heappush(self._queue, entry)
         if len(self._batch) < self.settings.slots:
-            self._disturbed.set()
-        self._note_load()
-        if self._loop is None:
-            self._loop = asyncio.create_task(self._run_batches())
+            self._batch_changed.set()
+        self._record_load()
+        if self._batch_task is None:
+            self._batch_task = asyncio.create_task(self._run_batches())
 
     def _remove(self, job: _Job) -> None:
         job.end(job.error)
@@ -226,8 +229,8 @@
             del self._jobs_by_request_id[job.work.request_id]
         if job in self._batch:
             self._batch.remove(job)
-            self._disturbed.set()
-            self._note_load()
+            self._batch_changed.set()
+            self._record_load()
 
     async def _run_batches(self) -> None:
         while self._batch or self._queue:
@@ -236,35 +239,37 @@
                 await self.clock.sleep(_HANG_POLL_SECONDS)
             if not self._batch:
                 continue
-            prompts = self._plan_prefill()
-            if prompts:
-                await self.clock.sleep(self._step_seconds(prompts))
-                self._account(self._step_seconds(prompts))
-                self._finish_step(1, prompts)
+            prefill_tokens = self._plan_prefill()
+            if prefill_tokens:
+                await self.clock.sleep(self._step_seconds(prefill_tokens))
+                self._record_busy_time(self._step_seconds(prefill_tokens))
+                self._finish_step(1, prefill_tokens)
                 continue
-            steps, seconds = await self._sleep_steps()
-            self._account(seconds)
+            steps, seconds = await self._sleep_decode_steps()
+            self._record_busy_time(seconds)
             self._finish_step(steps, {})
-        self._loop = None
+        self._batch_task = None
 
-    async def _sleep_steps(self) -> tuple[int, float]:
-        """Let equal steps pass until one is the last of a sequence.
+    async def _sleep_decode_steps(self) -> tuple[int, float]:
+        """Sleep for a run of decode steps, until the first sequence ends.
 
-        Arrivals and cancellations end the run at the next step.
+        A change of the batch ends the run at the next step boundary.
 
-        :returns: the steps that passed, and their seconds
+        :returns: the number of steps and their duration in seconds
         """
         step = self._step_seconds({})
-        left = min(job.work.max_tokens - job.produced for job in self._batch)
+        left = min(
+            job.work.max_tokens - job.tokens_produced for job in self._batch
+        )
         steps = max(1, min(left, self.settings.steps_at_once))
         if steps == 1:
             await self.clock.sleep(step)
             return 1, step
-        self._disturbed.clear()
+        self._batch_changed.clear()
         began = self.clock.monotonic()
         try:
             async with asyncio.timeout(steps * step):
-                await self._disturbed.wait()
+                await self._batch_changed.wait()
         except TimeoutError:
             return steps, steps * step
         elapsed = self.clock.monotonic() - began
@@ -282,23 +287,23 @@
                 asyncio.get_running_loop().call_soon(self.crash)
             hit = self.cache.match(job.work.prefix_hashes)
             tokens = job.work.prompt_tokens - hit * BLOCK_TOKENS
-            job.prefill_left = max(1, tokens)
+            job.prefill_tokens_left = max(1, tokens)
             self._batch.append(job)
-        self._note_load()
+        self._record_load()
 
     def _plan_prefill(self) -> dict[_Job, int]:
         budget = self.settings.prefill_chunk
-        prompts: dict[_Job, int] = {}
+        prefill_tokens: dict[_Job, int] = {}
         for job in self._batch:
-            if job.prefill_left and budget:
-                prompts[job] = min(budget, job.prefill_left)
-                budget -= prompts[job]
-        return prompts
+            if job.prefill_tokens_left and budget:
+                prefill_tokens[job] = min(budget, job.prefill_tokens_left)
+                budget -= prefill_tokens[job]
+        return prefill_tokens
 
-    def _step_seconds(self, prompts: dict[_Job, int]) -> float:
+    def _step_seconds(self, prefill_tokens: dict[_Job, int]) -> float:
         settings = self.settings
-        decoding = sum(not job.prefill_left for job in self._batch)
-        seconds = settings.prefill_seconds * sum(prompts.values())
+        decoding = sum(not job.prefill_tokens_left for job in self._batch)
+        seconds = settings.prefill_seconds * sum(prefill_tokens.values())
         if decoding:
             seconds += settings.token_seconds
             seconds += settings.sequence_seconds * decoding
@@ -306,30 +311,34 @@
             seconds *= _SLOW_FACTOR
         return seconds
 
-    def _finish_step(self, steps: int, prompts: dict[_Job, int]) -> None:
+    def _finish_step(
+        self, steps: int, prefill_tokens: dict[_Job, int]
+    ) -> None:
         for job in list(self._batch):
-            if job.prefill_left:
-                job.prefill_left -= prompts.get(job, 0)
-                if job.prefill_left:
+            if job.prefill_tokens_left:
+                job.prefill_tokens_left -= prefill_tokens.get(job, 0)
+                if job.prefill_tokens_left:
                     continue
                 self.cache.store(job.work.prefix_hashes)
-                job.produced += 1
+                job.tokens_produced += 1
             else:
-                job.produced += steps
+                job.tokens_produced += steps
             job.changed.set()
-            if job.produced >= job.work.max_tokens:
-                job.produced = job.work.max_tokens
+            if job.tokens_produced >= job.work.max_tokens:
+                job.tokens_produced = job.work.max_tokens
                 self.completed += 1
                 self._remove(job)
 
-    def _account(self, seconds: float) -> None:
+    def _record_busy_time(self, seconds: float) -> None:
         self.busy_seconds += seconds
         self.slot_seconds += seconds * len(self._batch)
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         now = self.clock.monotonic()
-        self._loads.append((now, self.running, self.waiting))
-        # Reports look back report_lag seconds, never further.
+        self._load_history.append((now, self.running, self.waiting))
+        # No report reads entries older than report_lag seconds.
         limit = now - self.settings.report_lag
-        while len(self._loads) > 1 and self._loads[1][0] <= limit:
-            self._loads.popleft()
+        while (
+            len(self._load_history) > 1 and self._load_history[1][0] <= limit
+        ):
+            self._load_history.popleft()
--- a/burdockdrum/emulator/orders.py
+++ b/burdockdrum/emulator/orders.py
@@ -1,4 +1,4 @@
-"""The orders that an engine takes, and the weight store behind them."""
+"""Orders that an emulated engine executes, and its weight store."""
 
 import asyncio
 from typing import Literal
@@ -10,12 +10,12 @@
 Role = Literal["both", "prefill", "decode"]
 
 
-class OldFencingNumber(Exception):
-    """The order is from a holder that has been replaced."""
+class StaleFencingNumber(Exception):
+    """The fencing number of an order is below the highest one seen."""
 
 
 class Order(msgspec.Struct, frozen=True, kw_only=True):
-    """One thing an engine is told to do; ``value`` is what is named."""
+    """A command to an engine; ``value`` is the version, adapter or role."""
 
     order_id: str
     kind: Literal["load_version", "load_adapter", "unload_adapter", "set_role"]
@@ -24,27 +24,27 @@
 
 
 class WeightStore:
-    """A store of weights that hands out so many bytes a second in all."""
+    """A weight store with a limited total bandwidth."""
 
     def __init__(self, *, clock: Clock, bytes_per_second: float) -> None:
-        """Create an idle store."""
+        """Create a store without downloads."""
         self._clock = clock
         self._rate = bytes_per_second
-        self._line = asyncio.Lock()
+        self._download_lock = asyncio.Lock()
         self.loads = 0
 
     async def load(self, size: float) -> None:
-        """Wait for a download of so many bytes; one at a time."""
-        async with self._line:
+        """Download ``size`` bytes; downloads run one at a time."""
+        async with self._download_lock:
             await self._clock.sleep(size / self._rate)
             self.loads += 1
 
 
 class OrderBook:
-    """What an engine has loaded, changed by orders only.
+    """The versions, adapters and role of an engine, changed by orders.
 
-    Where ``checks_fencing`` is false, an order with an old number is carried
-    out like any other: some deployed engines do that.
+    If ``checks_fencing`` is false, orders with a stale fencing number are
+    executed too, as some deployed engines do.
     """
 
     def __init__(
@@ -57,31 +57,37 @@
         weights: WeightStore | None = None,
         weight_bytes: float = 1e9,
     ) -> None:
-        """Create an order book with what is loaded at the start."""
+        """Create the state with what is loaded initially."""
         self.versions = versions
         self.adapters = adapters
         self.role: Role = role
         self._checks_fencing = checks_fencing
         self._weights = weights
         self._weight_bytes = weight_bytes
-        self._highest = 0
-        self._carried_out: set[str] = set()
+        self._highest_fencing_number = 0
+        self._applied_order_ids: set[str] = set()
         self.orders: list[Order] = []
 
     async def carry_out(self, order: Order) -> None:
-        """Carry out an order once; a repeated order id changes nothing.
+        """Execute an order; a repeated order id has no effect.
 
         :raises OldFencingNumber: if fencing is checked and the number is
             below the highest seen
         """
-        if order.fencing_number < self._highest and self._checks_fencing:
-            raise OldFencingNumber(
-                f"{order.fencing_number} is below {self._highest}"
+        if (
+            order.fencing_number < self._highest_fencing_number
+            and self._checks_fencing
+        ):
+            raise StaleFencingNumber(
+                f"{order.fencing_number} is below "
+                f"{self._highest_fencing_number}"
             )
-        self._highest = max(self._highest, order.fencing_number)
-        if order.order_id in self._carried_out:
+        self._highest_fencing_number = max(
+            self._highest_fencing_number, order.fencing_number
+        )
+        if order.order_id in self._applied_order_ids:
             return
-        self._carried_out.add(order.order_id)
+        self._applied_order_ids.add(order.order_id)
         self.orders.append(order)
         match order.kind:
             case "load_version":
--- a/burdockdrum/emulator/plain.py
+++ b/burdockdrum/emulator/plain.py
@@ -1,4 +1,4 @@
-"""A plain service that counts each run by its idempotency key."""
+"""An emulated plain service that counts runs by idempotency key."""
 
 import collections
 
@@ -8,16 +8,16 @@
 
 
 class PlainService:
-    """Rosters, section status and bookings, without the business."""
+    """A plain service whose responses describe the request."""
 
     def __init__(self, *, clock: Clock, seconds: float = 0.002) -> None:
-        """Create a service that takes so many seconds a call."""
+        """Create a service whose calls take ``seconds`` each."""
         self._clock = clock
         self._seconds = seconds
         self.runs_by_key: collections.Counter[str] = collections.Counter()
 
     async def run(self, method: str, path: str, key: str | None) -> bytes:
-        """Carry out a call and return its JSON answer."""
+        """Execute a call and return its JSON response."""
         if key is not None:
             self.runs_by_key[key] += 1
         await self._clock.sleep(self._seconds)
--- a/burdockdrum/emulator/prefix_cache.py
+++ b/burdockdrum/emulator/prefix_cache.py
@@ -1,4 +1,4 @@
-"""The prompt prefixes that an engine holds in limited memory."""
+"""The prefix cache of an emulated engine."""
 
 import collections
 from collections.abc import Sequence
@@ -9,10 +9,10 @@
 
 
 class PrefixCache:
-    """Blocks of prompt prefixes, the least recently used dropped first.
+    """Blocks of prompt prefixes with least-recently-used eviction.
 
-    What is stored and dropped is published late and with gaps, as real
-    engines do: ``event_lag`` is in seconds, ``event_loss`` a probability.
+    Cache events are delayed and lost as with real engines: ``event_lag`` is
+    in seconds, ``event_loss`` a probability.
     """
 
     def __init__(
@@ -24,7 +24,7 @@
         event_lag: float = 0.0,
         event_loss: float = 0.0,
     ) -> None:
-        """Create an empty cache for so many blocks."""
+        """Create an empty cache for ``capacity`` blocks."""
         self._clock = clock
         self._rng = rng
         self._capacity = capacity
@@ -39,38 +39,38 @@
         self.sequence = 0
 
     def match(self, hashes: Sequence[int]) -> int:
-        """Return how many leading blocks of a prompt are held."""
+        """Return how many leading blocks of a prompt are cached."""
         for index, block in enumerate(hashes):
             if block not in self._blocks:
                 return index
         return len(hashes)
 
     def store(self, hashes: Sequence[int]) -> None:
-        """Hold the blocks of a prompt, as many as fit."""
+        """Cache the blocks of a prompt, as many as fit."""
         for block in reversed(hashes[: self._capacity]):
             if block not in self._blocks:
-                self._note(block, stored=True)
+                self._record_event(block, stored=True)
             self._blocks[block] = None
-            # Leading blocks are shared by more prompts: they end up as the
-            # most recently used, so that tails are dropped before them.
+            # Leading blocks are shared by more prompts: going backwards makes
+            # them the most recently used, so that tails are evicted first.
             self._blocks.move_to_end(block)
         while len(self._blocks) > self._capacity:
             dropped, _ = self._blocks.popitem(last=False)
-            self._note(dropped, stored=False)
+            self._record_event(dropped, stored=False)
 
     def clear(self) -> None:
-        """Forget everything, as at a restart; nothing is published."""
+        """Remove all blocks without events, as at a restart."""
         self._blocks.clear()
         self._events.clear()
 
     def contents(self) -> list[CacheEvent]:
-        """Return every block held, as a resync asks for."""
+        """Return an event for every cached block, for a resync."""
         return [CacheEvent(prefix=b, stored=True) for b in self._blocks]
 
     def take_events(self) -> list[CacheEvent]:
-        """Return the events that are due, but for those that got lost.
+        """Remove and return the due events, except for lost ones.
 
-        ``sequence`` counts the lost ones too, so that a gap shows.
+        ``sequence`` counts lost events too, so that receivers detect gaps.
         """
         due = []
         limit = self._clock.monotonic() - self._event_lag
@@ -81,6 +81,6 @@
                 due.append(event)
         return due
 
-    def _note(self, block: int, *, stored: bool) -> None:
+    def _record_event(self, block: int, *, stored: bool) -> None:
         event = CacheEvent(prefix=block, stored=stored)
         self._events.append((self._clock.monotonic(), event))
--- a/tests/emulator/__init__.py
+++ b/tests/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the stand-ins."""
+"""Tests of the emulated endpoints."""
--- a/tests/emulator/test_announcer.py
+++ b/tests/emulator/test_announcer.py
@@ -1,4 +1,4 @@
-"""An endpoint tells one entry VM of itself at a time."""
+"""Announcements and reports go to one entry VM at a time."""
 
 import asyncio
 import collections
@@ -22,7 +22,7 @@
 
 
 class AnnouncerTest(unittest.TestCase):
-    """Two entry VMs, of which the endpoint was told one."""
+    """Two entry VMs, one of which the endpoint is configured with."""
 
     async def start(self):
         network = FakeNetwork(rng=random.Random(1))
@@ -31,8 +31,8 @@
 
         def serve(url: str) -> None:
             async def answer(call):
-                what = call.url.rsplit("/", 1)[1]
-                calls[(url, what)] += 1
+                action = call.url.rsplit("/", 1)[1]
+                calls[(url, action)] += 1
                 grant = LeaseGrant(
                     lease_seconds=3.0,
                     report_seconds=0.5,
@@ -61,7 +61,7 @@
         task = asyncio.create_task(announcer.run())
         return web, calls, task
 
-    def test_one_entry_is_told_while_it_answers(self):
+    def test_reports_to_one_entry_while_it_responds(self):
         async def main():
             _, calls, task = await self.start()
             await asyncio.sleep(5)
@@ -72,9 +72,9 @@
 
         run_virtual(main())
 
-    def test_another_entry_is_told_when_the_first_is_gone(self):
-        # The entry VM that took the reports is replaced. The endpoint knows
-        # the others from its answer and goes on there within its lease.
+    def test_switches_entry_when_the_first_is_unreachable(self):
+        # Guards against an expired lease when the entry VM is replaced: the
+        # endpoint knows the other entry VMs from its responses.
         async def main():
             web, calls, task = await self.start()
             await asyncio.sleep(2)
--- a/tests/emulator/test_application.py
+++ b/tests/emulator/test_application.py
@@ -1,4 +1,4 @@
-"""The stand-in engine over HTTP."""
+"""The emulated engine over HTTP."""
 
 import asyncio
 import random
@@ -25,7 +25,7 @@
 
 
 class ApplicationTest(unittest.TestCase):
-    """What a gateway meets at an engine."""
+    """The HTTP API of the engine as the gateway uses it."""
 
     async def start(self, orders=None, **changes):
 
@@ -127,22 +127,22 @@
             }
             return (await self.call("POST", "/orders", body)).status
 
-        async def main(checks):
-            book = OrderBook(
+        async def main(checks_fencing):
+            order_book = OrderBook(
                 versions=set(),
                 adapters=set(),
-                checks_fencing=checks,
+                checks_fencing=checks_fencing,
                 weights=WeightStore(
                     clock=VirtualClock(), bytes_per_second=1e9
                 ),
             )
-            await self.start(book)
+            await self.start(order_book)
             statuses = [
                 await order(2, "new"),
                 await order(1, "old"),
                 await order(2, "new"),
             ]
-            return statuses, book.adapters, len(book.orders)
+            return statuses, order_book.adapters, len(order_book.orders)
 
         self.assertEqual(
             ([200, 409, 200], {"new"}, 1), run_virtual(main(True))
--- a/tests/emulator/test_engine.py
+++ b/tests/emulator/test_engine.py
@@ -1,4 +1,4 @@
-"""The stand-in engine in memory."""
+"""The emulated engine in memory."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,7 @@
 
 
 async def run_all(engine: EmulatedEngine, work: Work) -> float:
-    """Return when the last token came."""
+    """Check all tokens and return the time of the last one."""
     tokens = [token async for token in engine.generate(work)]
     expected = [
         make_token(work.prompt, i)
@@ -55,20 +55,20 @@
         self.assertLess(together, alone * 4)
         self.assertGreater(queued, together + alone * 0.8)
 
-    def test_steps_at_once_change_no_time(self):
+    def test_merged_steps_take_the_same_time(self):
         async def main(steps):
             engine = make_engine(
                 slots=2, sequence_seconds=0.003, steps_at_once=steps
             )
 
-            async def later(seconds, work):
+            async def run_later(seconds, work):
                 await asyncio.sleep(seconds)
                 return await run_all(engine, work)
 
             return await asyncio.gather(
-                later(0, make_work("a", max_tokens=50)),
-                later(0.1001, make_work("b", max_tokens=9)),
-                later(0.2001, make_work("c", max_tokens=30)),
+                run_later(0, make_work("a", max_tokens=50)),
+                run_later(0.1001, make_work("b", max_tokens=9)),
+                run_later(0.2001, make_work("c", max_tokens=30)),
             )
 
         for one, many in zip(
@@ -76,7 +76,7 @@
         ):
             self.assertAlmostEqual(one, many, places=6)
 
-    def test_cached_prefix_is_not_read_again(self):
+    def test_cached_prefix_is_not_prefilled_again(self):
         async def main():
             engine = make_engine(prefill_seconds=0.001)
             work = {"prompt_tokens": 1024, "prefix_hashes": tuple(range(8))}
@@ -88,7 +88,7 @@
         self.assertGreater(first, 1.0)
         self.assertLess(second, 0.1)
 
-    def test_better_rank_leaves_the_queue_first(self):
+    def test_lower_rank_is_scheduled_first(self):
         async def main():
             engine = make_engine(slots=1)
             ranks = {"first": 1, "late": 2, "urgent": 0}
@@ -120,24 +120,20 @@
 
         run_virtual(main())
 
-    def test_marked_request_kills_the_engine_with_its_batch(self):
-        """What a caller of an innocent request sees: a cut stream.
-
-        The marked request joins a batch that runs; the engine dies; every
-        stream of the batch ends with an error, not with a clean end.
-        """
+    def test_poison_request_crashes_the_engine_and_cuts_its_batch(self):
+        """Every stream of the batch must fail instead of ending cleanly."""
 
         async def main():
-            deaths = []
+            crashes = []
             engine = make_engine(poison=b"POISON")
-            engine._on_crash = lambda: deaths.append(1)
+            engine._on_crash = lambda: crashes.append(1)
             innocent = run_all(engine, make_work("a", max_tokens=100))
             results = await asyncio.gather(
                 innocent,
                 run_all(engine, make_work("has POISON in it")),
                 return_exceptions=True,
             )
-            self.assertEqual([1], deaths)
+            self.assertEqual([1], crashes)
             for result in results:
                 self.assertIsInstance(result, EngineCrashed)
             engine.restart()
@@ -145,7 +141,7 @@
 
         run_virtual(main())
 
-    def test_faults_of_a_half_dead_engine(self):
+    def test_slow_hang_and_silent_faults(self):
         async def main(fault):
             engine = make_engine()
             engine.fault = fault
@@ -173,9 +169,11 @@
 
 
 class PrefixCacheTest(unittest.TestCase):
-    """Limited memory and events that come late and with gaps."""
+    """Eviction, and cache events that are delayed and lost."""
 
-    def test_least_recently_used_block_goes_and_gaps_show(self):
+    def test_lru_eviction_and_gaps_from_lost_events(
+        self,
+    ):
         async def main():
             cache = PrefixCache(
                 clock=VirtualClock(),
