--- a/burdockdrum/histories/__init__.py
+++ b/burdockdrum/histories/__init__.py
@@ -1,43 +1,43 @@
-"""What happened in a run, and checkers of what must always hold."""
+"""Recorded histories of test runs and checkers of their invariants."""
 
 from burdockdrum.histories.caller import RecordingCaller
 from burdockdrum.histories.checkers import check_all
 from burdockdrum.histories.checkers import CHECKERS
 from burdockdrum.histories.checkers import HOME_CLIENT_PREFIX
-from burdockdrum.histories.events import Accepted
+from burdockdrum.histories.events import ChangeAccepted
 from burdockdrum.histories.events import Drained
-from burdockdrum.histories.events import Ended
 from burdockdrum.histories.events import Ending
+from burdockdrum.histories.events import EndpointDraining
 from burdockdrum.histories.events import FaultSpan
-from burdockdrum.histories.events import Forwarded
 from burdockdrum.histories.events import History
 from burdockdrum.histories.events import InForce
-from burdockdrum.histories.events import Left
 from burdockdrum.histories.events import Ran
-from burdockdrum.histories.events import Sent
+from burdockdrum.histories.events import RequestEnded
+from burdockdrum.histories.events import RequestForwarded
+from burdockdrum.histories.events import RequestSent
 from burdockdrum.histories.events import Sort
 from burdockdrum.histories.limits import Began
 from burdockdrum.histories.limits import check_limits
 from burdockdrum.histories.limits import LimitInForce
 
 __all__ = [
-    "Accepted",
     "Began",
+    "ChangeAccepted",
     "check_all",
     "check_limits",
     "CHECKERS",
     "Drained",
-    "Ended",
     "Ending",
+    "EndpointDraining",
     "FaultSpan",
-    "Forwarded",
     "History",
     "HOME_CLIENT_PREFIX",
     "InForce",
-    "Left",
     "LimitInForce",
     "Ran",
     "RecordingCaller",
-    "Sent",
+    "RequestEnded",
+    "RequestForwarded",
+    "RequestSent",
     "Sort",
 ]
--- a/burdockdrum/histories/caller.py
+++ b/burdockdrum/histories/caller.py
@@ -1,4 +1,4 @@
-"""Send requests and record how each ended."""
+"""Sends requests to entry VMs and records how each one ended."""
 
 from collections.abc import Callable
 import itertools
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from burdockdrum.histories.events import Ended
 from burdockdrum.histories.events import Ending
 from burdockdrum.histories.events import History
-from burdockdrum.histories.events import Sent
+from burdockdrum.histories.events import RequestEnded
+from burdockdrum.histories.events import RequestSent
 from burdockdrum.histories.events import Sort
-from burdockdrum.histories.reading import AnswerReading
+from burdockdrum.histories.response_reader import ResponseReader
 from burdockdrum.ports import AnswerLost
 from burdockdrum.ports import ConnectFailed
 from burdockdrum.ports import HttpClient
@@ -22,9 +22,10 @@
 
 
 class RecordingCaller:
-    """Sends over one HTTP port and records into one history.
+    """Sends requests with an HTTP client and records them in a history.
 
-    :param answer_for: what an engine answers to messages, of so many tokens
+    :param answer_for: returns the completion that an engine generates for
+        the messages, with a number of tokens
     """
 
     def __init__(
@@ -37,7 +38,7 @@
         numbers: "itertools.count[int]",
         answer_for: Callable[[bytes, int], str],
     ) -> None:
-        """Create a caller; ``numbers`` is shared by all of a history."""
+        """Create a caller; all callers of a history share ``numbers``."""
         self._history = history
         self._http = http
         self._now = now
@@ -53,8 +54,8 @@
         entry: str,
         sort: Sort,
         tokens: int,
-    ) -> Ended:
-        """Send a chat completion, streamed or whole."""
+    ) -> RequestEnded:
+        """Send a chat completion request, streamed or buffered."""
         number = next(self._numbers)
         messages = [{"role": "user", "content": f"request {number}"}]
         body = {
@@ -64,16 +65,16 @@
             "stream": sort is Sort.STREAMED,
         }
         prompt = msgspec.json.encode(messages)
-        wanted = self._answer_for(prompt, tokens)
-        self._history.answers_by_number[number] = wanted
+        expected = self._answer_for(prompt, tokens)
+        self._history.expected_text_by_number[number] = expected
         sent = self._record(number, client_id, entry, sort, None)
         call = self._make_call(entry, "/v1/chat/completions", token, body, {})
         return await self._send(sent, call)
 
     async def book(
         self, *, client_id: str, token: str, entry: str, key: str
-    ) -> Ended:
-        """Send an unrepeatable call to the plain service that books."""
+    ) -> RequestEnded:
+        """Send a non-idempotent request to the plain booking service."""
         number = next(self._numbers)
         sent = self._record(number, client_id, entry, Sort.BOOKING, key)
         headers = {"idempotency-key": key, "x-unrepeatable": "true"}
@@ -88,8 +89,8 @@
         entry: str,
         sort: Sort,
         key: str | None,
-    ) -> Sent:
-        sent = Sent(
+    ) -> RequestSent:
+        sent = RequestSent(
             time=self._now(),
             number=number,
             client_id=client_id,
@@ -121,24 +122,26 @@
             head_timeout=HEAD_TIMEOUT_SECONDS,
         )
 
-    async def _send(self, sent: Sent, call: UpstreamCall) -> Ended:
-        reading = AnswerReading(sort=sent.sort)
+    async def _send(
+        self, sent: RequestSent, call: UpstreamCall
+    ) -> RequestEnded:
+        reader = ResponseReader(sort=sent.sort)
         try:
             answer = await self._http.open(call)
-            await reading.read(answer)
-            ending = reading.ending
+            await reader.read(answer)
+            ending = reader.ending
         except ConnectFailed:
             ending = Ending.UNREACHED
         except AnswerLost:
             ending = Ending.CUT
-        ended = Ended(
+        ended = RequestEnded(
             time=self._now(),
             number=sent.number,
             ending=ending,
-            verdict=reading.verdict,
-            code=reading.code,
-            text=reading.text,
-            marked_done=reading.marked_done,
+            verdict=reader.verdict,
+            code=reader.code,
+            text=reader.text,
+            has_terminator=reader.has_terminator,
         )
         self._history.ended.append(ended)
         return ended
--- a/burdockdrum/histories/checkers.py
+++ b/burdockdrum/histories/checkers.py
@@ -1,30 +1,29 @@
-"""A checker for each point of "What must always hold".
+"""Checkers of the invariants of the system, one for each invariant.
 
-Each takes a history and returns a sentence a violation; an empty list means
-that the condition held.
+Each takes a history and returns one sentence for each violation.
 """
 
 import collections
 from collections.abc import Callable
 import math
 
-from burdockdrum.histories.events import Ended
 from burdockdrum.histories.events import Ending
 from burdockdrum.histories.events import History
-from burdockdrum.histories.events import Sent
+from burdockdrum.histories.events import RequestEnded
+from burdockdrum.histories.events import RequestSent
 from burdockdrum.histories.events import Sort
 
 MAX_FORWARDS = 2
-LEAVE_SECONDS = 4.0
-IN_FORCE_SECONDS = 4.0
-SETTLE_SECONDS = 6.0
+DRAIN_LIMIT_SECONDS = 4.0
+ROLLOUT_LIMIT_SECONDS = 4.0
+RECOVERY_SECONDS = 6.0
 HOME_CLIENT_PREFIX = "home-"
 
 Checker = Callable[[History], list[str]]
 
 
 def check_residency(history: History) -> list[str]:
-    """A client's data is never processed outside its residency."""
+    """Check that no client's data is processed outside its residency."""
     clients: dict[object, str] = {}
     for sent in history.sent:
         clients[sent.number] = sent.client_id
@@ -41,7 +40,7 @@
 
 
 def check_no_loop(history: History) -> list[str]:
-    """No request travels in a loop between data centres."""
+    """Check that no request is forwarded in a loop between data centres."""
     violations = []
     for forwarded in history.forwarded:
         path = (*forwarded.hops, forwarded.data_centre)
@@ -53,13 +52,15 @@
 
 
 def check_isolated_region_serves(history: History) -> list[str]:
-    """A region cut off from the others serves its own callers."""
+    """Check that a partitioned region serves its own clients."""
     violations = []
-    for number, (sent, ended) in _pairs(history).items():
+    for number, (sent, ended) in _match_requests(history).items():
         region = sent.entry.split("-")[0]
         if sent.client_id != HOME_CLIENT_PREFIX + region:
             continue
-        if sent.sort is Sort.BOOKING or not _only_cut(history, sent, ended):
+        if sent.sort is Sort.BOOKING or not _is_only_isolated(
+            history, sent, ended
+        ):
             continue
         if ended.ending is not Ending.ANSWERED:
             violations.append(
@@ -70,30 +71,31 @@
 
 
 def check_whole_answers(history: History) -> list[str]:
-    """Every caller receives the whole answer to its own request only."""
+    """Check that every caller gets the complete response to its request."""
     violations = []
-    for number, (sent, ended) in _pairs(history).items():
-        wanted = history.answers_by_number.get(number)
-        if sent.sort is Sort.BOOKING or wanted is None:
+    for number, (sent, ended) in _match_requests(history).items():
+        expected = history.expected_text_by_number.get(number)
+        if sent.sort is Sort.BOOKING or expected is None:
             continue
-        if ended.ending is Ending.ANSWERED and ended.text != wanted:
+        if ended.ending is Ending.ANSWERED and ended.text != expected:
             violations.append(
-                f"request {number} was answered {ended.text!r}, not {wanted!r}"
+                f"request {number} was answered {ended.text!r}, "
+                f"not {expected!r}"
             )
-        if ended.ending is Ending.CUT and ended.marked_done:
+        if ended.ending is Ending.CUT and ended.has_terminator:
             violations.append(f"request {number} was cut but looks done")
-        if not wanted.startswith(ended.text):
+        if not expected.startswith(ended.text):
             violations.append(
-                f"request {number} received {ended.text!r} of {wanted!r}"
+                f"request {number} received {ended.text!r} of {expected!r}"
             )
     return violations
 
 
 def check_not_run(history: History) -> list[str]:
-    """A request refused as "not run" did not run, and will not.
+    """Check that a request refused as "not run" never runs.
 
-    A booking refused so may run when it is sent again; it must not have run
-    before the refusal.
+    A booking may run when it is sent again, but must not have run before
+    the refusal.
     """
     ran = {ran.number for ran in history.ran if ran.number is not None}
     first_run_by_key: dict[str, float] = {}
@@ -101,7 +103,7 @@
         if event.key is not None:
             first_run_by_key.setdefault(event.key, event.time)
     violations = []
-    for number, (sent, ended) in _pairs(history).items():
+    for number, (sent, ended) in _match_requests(history).items():
         if ended.verdict != "not run":
             continue
         first_run = first_run_by_key.get(sent.key or "", ended.time)
@@ -114,7 +116,7 @@
 
 
 def check_at_most_once(history: History) -> list[str]:
-    """An unrepeatable request runs at most once."""
+    """Check that a non-idempotent request runs at most once."""
     counts = collections.Counter(
         ran.key for ran in history.ran if ran.key is not None
     )
@@ -125,37 +127,38 @@
     ]
 
 
-def check_leaving(history: History) -> list[str]:
-    """A leaving endpoint gets no new work after a few seconds.
+def check_draining(history: History) -> list[str]:
+    """Check that a draining endpoint gets no new requests after the limit.
 
-    One that crashed and started again since is another start, which offers
-    itself.
+    An endpoint that restarts is a new incarnation, which isn't draining.
     """
-    left_at = {
-        (left.endpoint_id, left.incarnation): left.time
-        for left in history.left
+    draining_since = {
+        (draining.endpoint_id, draining.incarnation): draining.time
+        for draining in history.draining
     }
     violations = []
     for ran in history.ran:
-        left = left_at.get((ran.endpoint_id, ran.incarnation), math.inf)
-        if ran.time > left + LEAVE_SECONDS:
+        draining = draining_since.get(
+            (ran.endpoint_id, ran.incarnation), math.inf
+        )
+        if ran.time > draining + DRAIN_LIMIT_SECONDS:
             violations.append(
                 f"{ran.endpoint_id} got request {ran.number} "
-                f"{ran.time - left:.1f} s after it left"
+                f"{ran.time - draining:.1f} s after it started draining"
             )
     return violations
 
 
 def check_graceful_shutdown(history: History) -> list[str]:
-    """A graceful shutdown cuts off no request in flight."""
+    """Check that draining a VM breaks off no request in flight."""
     violations = []
-    for number, (sent, ended) in _pairs(history).items():
+    for number, (sent, ended) in _match_requests(history).items():
         for drained in history.drained:
             if sent.entry != drained.vm_id:
                 continue
             if not sent.time <= drained.until or ended.time < drained.time:
                 continue
-            if _touched(history, sent, ended):
+            if _overlaps_fault(history, sent, ended):
                 continue
             if ended.ending is Ending.CUT:
                 violations.append(
@@ -165,11 +168,11 @@
 
 
 def check_configuration(history: History) -> list[str]:
-    """An accepted change is in force soon and never reverts."""
+    """Check that accepted changes are applied in time and never revert."""
     return [
         *_check_monotonic(history),
-        *_check_in_force_soon(history),
-        *_check_last_values(history),
+        *_check_rollout_time(history),
+        *_check_final_values(history),
     ]
 
 
@@ -180,21 +183,23 @@
     "whole answers": check_whole_answers,
     "not run": check_not_run,
     "at most once": check_at_most_once,
-    "leaving": check_leaving,
+    "leaving": check_draining,
     "graceful shutdown": check_graceful_shutdown,
     "configuration": check_configuration,
 }
 
 
 def check_all(history: History) -> dict[str, list[str]]:
-    """Return the violations by checker, for those that found any."""
+    """Return the violations by checker, without checkers that found none."""
     found = {name: check(history) for name, check in CHECKERS.items()}
     return {
         name: violations for name, violations in found.items() if violations
     }
 
 
-def _pairs(history: History) -> dict[int, tuple[Sent, Ended]]:
+def _match_requests(
+    history: History,
+) -> dict[int, tuple[RequestSent, RequestEnded]]:
     sent_by_number = {sent.number: sent for sent in history.sent}
     return {
         ended.number: (sent_by_number[ended.number], ended)
@@ -202,30 +207,35 @@
     }
 
 
-def _touched(history: History, sent: Sent, ended: Ended) -> bool:
+def _overlaps_fault(
+    history: History, sent: RequestSent, ended: RequestEnded
+) -> bool:
     return any(
-        fault.start - SETTLE_SECONDS < ended.time
-        and sent.time < fault.end + SETTLE_SECONDS
+        fault.start - RECOVERY_SECONDS < ended.time
+        and sent.time < fault.end + RECOVERY_SECONDS
         for fault in history.faults
     )
 
 
-def _only_cut(history: History, sent: Sent, ended: Ended) -> bool:
-    """Say whether the region was cut off throughout and nothing else."""
+def _is_only_isolated(
+    history: History, sent: RequestSent, ended: RequestEnded
+) -> bool:
+    """Return whether an isolation was the only fault of the region."""
     region = sent.entry.split("-")[0]
-    inside = False
+    is_isolated = False
     for fault in history.faults:
         overlaps = (
-            fault.start < ended.time and sent.time < fault.end + SETTLE_SECONDS
+            fault.start < ended.time
+            and sent.time < fault.end + RECOVERY_SECONDS
         )
         if fault.name == f"isolate {region}":
-            inside = inside or (
-                fault.start + SETTLE_SECONDS <= sent.time
+            is_isolated = is_isolated or (
+                fault.start + RECOVERY_SECONDS <= sent.time
                 and ended.time <= fault.end
             )
         elif overlaps and any(host.startswith(region) for host in fault.hosts):
             return False
-    return inside
+    return is_isolated
 
 
 def _check_monotonic(history: History) -> list[str]:
@@ -242,12 +252,13 @@
     return violations
 
 
-def _check_in_force_soon(history: History) -> list[str]:
+def _check_rollout_time(history: History) -> list[str]:
     violations = []
     for accepted in history.accepted:
-        limit = accepted.time + IN_FORCE_SECONDS
+        limit = accepted.time + ROLLOUT_LIMIT_SECONDS
         if any(
-            fault.start < limit and accepted.time < fault.end + SETTLE_SECONDS
+            fault.start < limit
+            and accepted.time < fault.end + RECOVERY_SECONDS
             for fault in history.faults
         ):
             continue
@@ -260,13 +271,13 @@
         if late:
             violations.append(
                 f"revision {accepted.revision} is not in force at "
-                f"{sorted(late)} after {IN_FORCE_SECONDS} s"
+                f"{sorted(late)} after {ROLLOUT_LIMIT_SECONDS} s"
             )
     return violations
 
 
-def _check_last_values(history: History) -> list[str]:
-    """At the end every VM holds the newest accepted value or a later one."""
+def _check_final_values(history: History) -> list[str]:
+    """Check that every VM ends with the newest accepted values."""
     newest: dict[str, tuple[int, str]] = {}
     for accepted in history.accepted:
         name = f"{accepted.kind}/{accepted.name}"
--- a/burdockdrum/histories/events.py
+++ b/burdockdrum/histories/events.py
@@ -1,6 +1,6 @@
-"""What is recorded while a history runs.
+"""Events that are recorded in a history.
 
-Times are seconds of the event loop, which no VM's clock skews.
+Times are seconds of the event loop's clock, which VM clock skew leaves alone.
 """
 
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 
 class Sort(enum.Enum):
-    """The sorts of request that callers send."""
+    """The kinds of request that callers send."""
 
     STREAMED = "streamed"
     WHOLE = "whole"
@@ -17,7 +17,7 @@
 
 
 class Ending(enum.Enum):
-    """How a caller saw a request end."""
+    """The outcome of a request as its caller sees it."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -26,10 +26,10 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Sent:
+class RequestSent:
     """A caller sent a request to an entry VM.
 
-    ``number`` names the sending; a resent request has another number and
+    ``number`` identifies the attempt; a resent request has a new number and
     the same ``key``.
     """
 
@@ -42,8 +42,8 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Ended:
-    """How it ended for the caller, and what it had received by then."""
+class RequestEnded:
+    """A request ended for its caller, with what was received until then."""
 
     time: float
     number: int
@@ -51,14 +51,15 @@
     verdict: str | None = None
     code: str | None = None
     text: str = ""
-    marked_done: bool = False
+    has_terminator: bool = False
 
 
 @dataclass(frozen=True, kw_only=True)
 class Ran:
-    """An endpoint was sent a request and began to run it.
+    """An endpoint received a request and started to run it.
 
-    A booking shows only its ``key``, because a resent one is the same.
+    A booking has only a ``key``, as all its attempts look the same to the
+    endpoint.
     """
 
     time: float
@@ -70,8 +71,8 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Forwarded:
-    """An entry VM was passed a request by another data centre."""
+class RequestForwarded:
+    """An entry VM received a request forwarded by another data centre."""
 
     time: float
     data_centre: str
@@ -80,8 +81,8 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Left:
-    """An endpoint announced that this start of it leaves."""
+class EndpointDraining:
+    """An incarnation of an endpoint announced that it is draining."""
 
     time: float
     endpoint_id: str
@@ -90,7 +91,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Drained:
-    """A VM was told to drain at ``time`` and exited at ``until``."""
+    """A VM started to drain at ``time`` and exited at ``until``."""
 
     time: float
     until: float
@@ -98,8 +99,8 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Accepted:
-    """An operator was told that a change is accepted."""
+class ChangeAccepted:
+    """A change of an operator was accepted."""
 
     time: float
     revision: int
@@ -110,7 +111,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class InForce:
-    """What a VM had in force at a moment; ``values`` are by resource."""
+    """A sample of a VM's configuration: its revision and resource values."""
 
     time: float
     vm_id: str
@@ -121,7 +122,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FaultSpan:
-    """A fault that lasted for a while and touched some hosts."""
+    """A fault, from start to end, and the hosts that it affected."""
 
     start: float
     end: float
@@ -131,19 +132,19 @@
 
 @dataclass
 class History:
-    """Everything that was recorded, in the order of recording."""
+    """All events of a run, in the order of recording."""
 
     residency_by_client: dict[str, frozenset[str]] = field(
         default_factory=dict
     )
-    sent: list[Sent] = field(default_factory=list)
-    ended: list[Ended] = field(default_factory=list)
+    sent: list[RequestSent] = field(default_factory=list)
+    ended: list[RequestEnded] = field(default_factory=list)
     ran: list[Ran] = field(default_factory=list)
-    forwarded: list[Forwarded] = field(default_factory=list)
-    left: list[Left] = field(default_factory=list)
+    forwarded: list[RequestForwarded] = field(default_factory=list)
+    draining: list[EndpointDraining] = field(default_factory=list)
     drained: list[Drained] = field(default_factory=list)
-    accepted: list[Accepted] = field(default_factory=list)
+    accepted: list[ChangeAccepted] = field(default_factory=list)
     in_force: list[InForce] = field(default_factory=list)
     faults: list[FaultSpan] = field(default_factory=list)
-    answers_by_number: dict[int, str] = field(default_factory=dict)
+    expected_text_by_number: dict[int, str] = field(default_factory=dict)
     ended_at: float = 0.0
--- a/burdockdrum/histories/limits.py
+++ b/burdockdrum/histories/limits.py
@@ -1,4 +1,4 @@
-"""Check what began against the limits of teams, over all entries."""
+"""Checks the rate limits of teams over the requests of all entry VMs."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Began:
-    """A request of a team began to run; ``cost`` is in the limit's unit."""
+    """A team's request started to run; ``cost`` is in the limit's unit."""
 
     time: float
     team: str
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LimitInForce:
-    """A limit that binds from a moment on, None where there is none."""
+    """The rate limit of a team from ``time`` on; None for no limit."""
 
     time: float
     team: str
@@ -33,12 +33,13 @@
     over: float,
     slack: float = 0.0,
 ) -> list[str]:
-    """Return a sentence for each team and limit that was not kept.
+    """Return a sentence for each team and limit that was exceeded.
 
-    In no window may more begin than the rate, the burst and a part more.
+    In each window the cost may reach the rate times the window plus the
+    burst, plus the tolerances.
 
-    :param over: which part of the limit may be used beyond it
-    :param slack: what may be used beyond that, in the limit's unit
+    :param over: relative tolerance, as a fraction of the limit
+    :param slack: absolute tolerance, in the limit's unit
     """
     spans = _spans_by_team(limits)
     violations = []
@@ -47,12 +48,12 @@
         requests = list(group)
         for start, end, limit in spans.get(team, ()):
             inside = [one for one in requests if start <= one.time < end]
-            most = _most_in_window(inside, window_seconds)
+            peak = _peak_cost_in_window(inside, window_seconds)
             allowed = limit.per_second * window_seconds + limit.burst
             allowed = allowed * (1 + over) + slack
-            if most > allowed:
+            if peak > allowed:
                 violations.append(
-                    f"{most:.0f} of team {team!r} began in "
+                    f"{peak:.0f} of team {team!r} began in "
                     f"{window_seconds:g} s, {allowed:.0f} are allowed"
                 )
     return violations
@@ -74,13 +75,13 @@
     return spans
 
 
-def _most_in_window(requests: list[Began], seconds: float) -> float:
-    most = total = 0.0
+def _peak_cost_in_window(requests: list[Began], seconds: float) -> float:
+    peak = total = 0.0
     first = 0
     for request in requests:
         total += request.cost
         while requests[first].time <= request.time - seconds:
             total -= requests[first].cost
             first += 1
-        most = max(most, total)
-    return most
+        peak = max(peak, total)
+    return peak
--- a/burdockdrum/histories/response_reader.py
+++ b/burdockdrum/histories/response_reader.py
@@ -1,4 +1,4 @@
-"""Read an answer as a caller does and note how it ended."""
+"""Reads a response as a caller does and classifies how it ended."""
 
 import msgspec
 
@@ -10,64 +10,64 @@
 _DONE = b"[DONE]"
 
 
-class AnswerReading:
-    """What a caller has read of one answer.
+class ResponseReader:
+    """Reads one response.
 
-    Until a terminal marker, a whole body or an error has been read, the
-    answer counts as cut.
+    The response counts as truncated until a terminator, a complete body or
+    an error has been read.
     """
 
     def __init__(self, *, sort: Sort) -> None:
-        """Start with nothing read."""
+        """Create a reader for a request of one kind."""
         self._sort = sort
         self.ending = Ending.CUT
         self.verdict: str | None = None
         self.code: str | None = None
         self.text = ""
-        self.marked_done = False
+        self.has_terminator = False
 
     async def read(self, answer: UpstreamAnswer) -> None:
-        """Read an answer to its end.
+        """Read a response to its end.
 
         :raises AnswerLost: if the connection broke
         """
         if answer.status != 200 or self._sort is not Sort.STREAMED:
             body = await read_whole(answer)
-            self._take_whole(answer.status, body)
+            self._read_body(answer.status, body)
             return
         buffer = b""
         async for part in answer.chunks():
             buffer += part
             *events, buffer = buffer.split(b"\n\n")
             for event in events:
-                self._take_event(event)
+                self._read_event(event)
 
-    def _take_whole(self, status: int, body: bytes) -> None:
+    def _read_body(self, status: int, body: bytes) -> None:
         if status != 200:
-            self._take_error(body)
+            self._read_error(body)
             return
         self.ending = Ending.ANSWERED
-        self.marked_done = True
+        self.has_terminator = True
         if self._sort is Sort.WHOLE:
             choice = msgspec.json.decode(body)["choices"][0]
             self.text = choice["message"]["content"]
 
-    def _take_event(self, event: bytes) -> None:
+    def _read_event(self, event: bytes) -> None:
         data = b"".join(
             line.removeprefix(b"data: ")
             for line in event.split(b"\n")
             if line.startswith(b"data: ")
         )
         if data == _DONE:
-            self.marked_done = True
+            self.has_terminator = True
             self.ending = Ending.ANSWERED
         elif b'"error"' in data:
-            self._take_error(data)
+            self._read_error(data)
         elif data:
             choice = msgspec.json.decode(data)["choices"][0]
             self.text += choice["delta"].get("content", "")
 
-    def _take_error(self, body: bytes) -> None:
+    def _read_error(self, body: bytes) -> None:
         error = msgspec.json.decode(body)["error"]
         self.ending = Ending.REFUSED
         self.verdict = error["verdict"]
--- a/tests/histories/__init__.py
+++ b/tests/histories/__init__.py
@@ -1,1 +1,1 @@
-"""Histories of concurrent runs, and checkers of what must always hold."""
+"""Simulated runs with faults, and tests of the invariant checkers."""
--- a/tests/histories/callers.py
+++ b/tests/histories/callers.py
@@ -1,4 +1,4 @@
-"""A caller of a history: sends one request, and a booking again."""
+"""Simulated callers, which send one request each and retry bookings."""
 
 import asyncio
 import random
@@ -13,14 +13,14 @@
     from tests.histories.world import World
 
 TOKENS = (5, 30, 150)
-MAX_BOOKING_SENDINGS = 4
+MAX_BOOKING_ATTEMPTS = 4
 
 
 class Caller:
-    """One request at a random time."""
+    """A caller that sends one request at a random time."""
 
     def __init__(self, *, world: "World", rng: random.Random) -> None:
-        """Choose the client, the entry and the sort of request."""
+        """Choose the client, the kind of request and its time."""
         self._world = world
         self._rng = rng
         clients = sorted(world.history.residency_by_client)
@@ -30,7 +30,7 @@
         self._start = rng.uniform(0, world.seconds)
 
     async def run(self) -> None:
-        """Send the request; send a booking again until it is settled."""
+        """Send the request; retry a booking until it is answered."""
         await asyncio.sleep(self._start)
         caller = RecordingCaller(
             history=self._world.history,
@@ -46,15 +46,15 @@
         await caller.complete(
             client_id=self._client_id,
             token=self._client_id,
-            entry=self._choose_near(),
+            entry=self._choose_home_entry(),
             sort=self._sort,
             tokens=self._rng.choice(TOKENS),
         )
 
     async def _book(self, caller: RecordingCaller) -> None:
         key = f"key-{next(self._world.numbers)}"
-        entry = self._choose_near()
-        for _ in range(MAX_BOOKING_SENDINGS):
+        entry = self._choose_home_entry()
+        for _ in range(MAX_BOOKING_ATTEMPTS):
             ended = await caller.book(
                 client_id=self._client_id,
                 token=self._client_id,
@@ -66,5 +66,5 @@
             await asyncio.sleep(self._rng.uniform(0.1, 4))
             entry = self._rng.choice(self._world.vm_ids)
 
-    def _choose_near(self) -> str:
+    def _choose_home_entry(self) -> str:
         return f"{self._home}-{self._rng.choice((1, 2))}"
--- a/tests/histories/endpoints.py
+++ b/tests/histories/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints of a history, and what they are sent."""
+"""Simulated endpoints, which record the requests that they receive."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -14,8 +14,8 @@
 from burdockdrum.emulator import EngineSettings
 from burdockdrum.emulator import PlainService
 from burdockdrum.endpoints import Announcement
+from burdockdrum.histories import EndpointDraining
 from burdockdrum.histories import History
-from burdockdrum.histories import Left
 from burdockdrum.histories import Ran
 from burdockdrum.ports import UpstreamCall
 from burdockdrum.testing import AsgiServer
@@ -31,7 +31,7 @@
 
 
 @dataclass
-class _Running:
+class _RunningEndpoint:
     incarnation: int
     announcer: Announcer
     server: AsgiServer
@@ -39,7 +39,7 @@
 
 
 class EndpointFleet:
-    """Two engines and a booking service in each region."""
+    """Two engines and one booking service in each region."""
 
     def __init__(
         self,
@@ -48,12 +48,12 @@
         history: History,
         regions: tuple[str, ...],
     ) -> None:
-        """Plan the endpoints without starting them."""
+        """Create the fleet without starting its endpoints."""
         self._cluster = cluster
         self._history = history
         self._regions = regions
         self._incarnation = 0
-        self._running_by_id: dict[str, _Running] = {}
+        self._running_by_id: dict[str, _RunningEndpoint] = {}
 
     @property
     def endpoint_ids(self) -> list[str]:
@@ -74,7 +74,7 @@
             await self.start_endpoint(endpoint_id)
 
     async def start_endpoint(self, endpoint_id: str) -> None:
-        """Start an endpoint, or start it again as a new incarnation."""
+        """Start an endpoint, or restart it as a new incarnation."""
         region = endpoint_id.split("-")[0]
         self._incarnation += 1
         clock = VirtualClock()
@@ -104,7 +104,7 @@
         announcer = Announcer(
             http=self._cluster.client(endpoint_id),
             clock=clock,
-            entries=self._entries(region),
+            entries=self._entry_urls(region),
             token="endpoint",
             announcement=Announcement(
                 endpoint_id=endpoint_id,
@@ -116,12 +116,12 @@
             read_load=read_load,
         )
         task = asyncio.create_task(announcer.run())
-        self._running_by_id[endpoint_id] = _Running(
+        self._running_by_id[endpoint_id] = _RunningEndpoint(
             self._incarnation, announcer, server, task
         )
 
     async def crash_endpoint(self, endpoint_id: str) -> None:
-        """Stop an endpoint at once."""
+        """Crash an endpoint."""
         running = self._running_by_id.pop(endpoint_id, None)
         if running is None:
             return
@@ -130,15 +130,15 @@
         running.task.cancel()
         await asyncio.gather(running.task, return_exceptions=True)
 
-    async def leave(self, endpoint_id: str) -> None:
-        """Let an endpoint announce that it leaves."""
+    async def start_draining(self, endpoint_id: str) -> None:
+        """Let an endpoint announce that it is draining."""
         running = self._running_by_id.get(endpoint_id)
         if running is None:
             return
         await running.announcer.leave()
         now = asyncio.get_running_loop().time()
-        self._history.left.append(
-            Left(
+        self._history.draining.append(
+            EndpointDraining(
                 time=now,
                 endpoint_id=endpoint_id,
                 incarnation=running.incarnation,
@@ -146,7 +146,7 @@
         )
 
     async def stop(self) -> None:
-        """Stop every endpoint."""
+        """Crash every endpoint."""
         for endpoint_id in list(self._running_by_id):
             await self.crash_endpoint(endpoint_id)
 
@@ -176,7 +176,7 @@
 
         return recording
 
-    def _entries(self, region: str) -> list[str]:
+    def _entry_urls(self, region: str) -> list[str]:
         first = self._regions.index(region) * 2
         return [f"http://127.0.0.1:{2001 + first + i}" for i in (0, 1)]
 
--- a/tests/histories/faults.py
+++ b/tests/histories/faults.py
@@ -1,4 +1,4 @@
-"""The faults that a schedule may hold."""
+"""Faults and operations of a fault plan, and their JSON encoding."""
 
 from dataclasses import asdict
 from dataclasses import dataclass
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Isolate:
-    """All links between a region and the others drop silently."""
+    """All links between a region and the others are cut."""
 
     region: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class CutOneWay:
-    """Links from a region to another drop silently, not the way back."""
+    """Links from one region to another are cut, the reverse ones are not."""
 
     source: str
     target: str
@@ -23,16 +23,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Lossy:
-    """Every link loses, doubles and reorders control messages."""
+    """Every link loses and duplicates control messages."""
 
     loss: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class CrashVm:
-    """A VM stops at once, and starts again when the fault ends.
+    """A VM crashes and restarts when the fault ends.
 
-    ``lose_disk`` gives it an empty disk on return.
+    With ``lose_disk`` it restarts with an empty disk.
     """
 
     vm_id: str
@@ -41,28 +41,28 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LosePower:
-    """Every VM of a region stops at once and starts again together."""
+    """All VMs of a region lose power and restart when the fault ends."""
 
     region: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class CrashEndpoint:
-    """An endpoint stops at once, and starts again when the fault ends."""
+    """An endpoint crashes and restarts when the fault ends."""
 
     endpoint_id: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class LeaveEndpoint:
-    """An endpoint announces that it leaves; no fault, but a change."""
+    """An endpoint starts to drain; an operation rather than a fault."""
 
     endpoint_id: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class DrainVm:
-    """A VM is drained and replaced; no fault, but a change."""
+    """A VM is drained and restarted; an operation rather than a fault."""
 
     vm_id: str
 
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Planned:
-    """A fault with its start and how long it lasts, in seconds."""
+    """A fault with its start and duration in seconds."""
 
     start: float
     seconds: float
@@ -119,7 +119,7 @@
 
 
 def decode_plan(text: str) -> list[Planned]:
-    """Return the plan that ``encode_plan`` wrote."""
+    """Return the plan that ``encode_plan`` encoded."""
     plan = []
     for fields in json.loads(text):
         start, seconds = fields.pop("start"), fields.pop("seconds")
@@ -129,7 +129,7 @@
 
 
 def draw_fault(rng: random.Random, regions: tuple[str, ...]) -> Fault:
-    """Choose a fault."""
+    """Choose a random fault."""
     region = rng.choice(regions)
     other = rng.choice([name for name in regions if name != region])
     vm_id = f"{region}-{rng.choice((1, 2))}"
@@ -148,7 +148,7 @@
 
 
 def draw_plan(rng: random.Random, regions: tuple[str, ...]) -> list[Planned]:
-    """Choose one to four faults, often two at a time."""
+    """Choose one to four faults, which may overlap."""
     return [
         Planned(
             start=round(rng.uniform(0, 14), 1),
--- a/tests/histories/injection.py
+++ b/tests/histories/injection.py
@@ -1,4 +1,4 @@
-"""Bring about the faults of a plan."""
+"""Injects the faults of a plan into a simulated run."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,15 +20,15 @@
 
 
 class Injector:
-    """One task a fault, from its start to its end."""
+    """Runs a task for each fault, from its start to its end."""
 
     def __init__(self, *, world: "World", plan: list[Planned]) -> None:
-        """Plan the faults."""
+        """Create an injector for a plan."""
         self._world = world
         self._plan = plan
 
     async def run(self) -> None:
-        """Bring about every fault and undo it."""
+        """Inject every fault and undo it at its end."""
         async with asyncio.TaskGroup() as group:
             for planned in self._plan:
                 group.create_task(self._inject(planned))
@@ -82,11 +82,11 @@
             case LosePower(region=region):
                 for vm_id in self._vms_in(region):
                     await world.crash_vm(vm_id)
-                    world.lose_unsynced(vm_id)
+                    world.lose_unsynced_writes(vm_id)
             case CrashEndpoint(endpoint_id=endpoint_id):
                 await world.fleet.crash_endpoint(endpoint_id)
             case LeaveEndpoint(endpoint_id=endpoint_id):
-                await world.fleet.leave(endpoint_id)
+                await world.fleet.start_draining(endpoint_id)
             case DrainVm(vm_id=vm_id):
                 await world.drain_vm(vm_id)
 
@@ -113,16 +113,18 @@
     def _change_links(
         self, fault: Isolate | CutOneWay, change: Callable[..., None]
     ) -> None:
-        """Cut or heal the links that a fault is about."""
+        """Cut or heal the links that a fault affects."""
         match fault:
             case Isolate(region=region):
-                change(self._world.hosts_in(region), self._others(region))
+                change(
+                    self._world.hosts_in(region), self._hosts_outside(region)
+                )
             case CutOneWay(source=source, target=target):
                 sources = self._world.hosts_in(source)
                 targets = self._world.hosts_in(target)
                 change(sources, targets, both=False)
 
-    def _others(self, region: str) -> list[str]:
+    def _hosts_outside(self, region: str) -> list[str]:
         inside = set(self._world.hosts_in(region))
         return [host for host in self._world.hosts() if host not in inside]
 
--- a/tests/histories/operators.py
+++ b/tests/histories/operators.py
@@ -1,4 +1,4 @@
-"""The operator of a history: sets the system up and keeps changing it."""
+"""A simulated operator, which sets up resources and changes them."""
 
 import asyncio
 import random
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from burdockdrum.histories import Accepted
+from burdockdrum.histories import ChangeAccepted
 from burdockdrum.histories import HOME_CLIENT_PREFIX
 from burdockdrum.ports import AnswerLost
 from burdockdrum.ports import ConnectFailed
@@ -19,36 +19,38 @@
     from tests.histories.world import World
 
 HOST = "alfold-operator"
-SET_UP_TRIES = 40
+SET_UP_ATTEMPTS = 40
 CHANGES = 10
-TIMEOUT = 8.0
+TIMEOUT_SECONDS = 8.0
 
 
 class Operator:
-    """Puts resources, and sends a change again when no answer came."""
+    """Writes resources, and retries a change that got no response."""
 
     def __init__(self, *, world: "World") -> None:
         """Create an operator."""
         self._world = world
 
     async def set_up(self) -> None:
-        """Write the regions, services and clients."""
+        """Create the regions, data centres, services and clients."""
         regions = ["dunantul", "alfold", "eszak"]
         for region in regions:
-            await self._must_put("region", region, {})
+            await self._put_with_retries("region", region, {})
             spec = {"region": region}
-            await self._must_put("data_centre", region, spec)
-        await self._must_put("service", "planner", {"regions": regions})
+            await self._put_with_retries("data_centre", region, spec)
+        await self._put_with_retries(
+            "service", "planner", {"regions": regions}
+        )
         plain = {"type": "plain", "regions": regions}
-        await self._must_put("service", "booking", plain)
+        await self._put_with_retries("service", "booking", plain)
         for index, region in enumerate(regions):
             other = regions[(index + 1) % len(regions)]
             home = HOME_CLIENT_PREFIX + region
             await self._put_client(home, region, [region, other])
             await self._put_client(f"bound-{region}", region, [region])
 
-    async def keep_changing(self) -> None:
-        """Change priority classes now and then, at any VM."""
+    async def make_changes(self) -> None:
+        """Change priority classes at random times over random VMs."""
         rng = random.Random(self._world.rng.random())
         for number in range(CHANGES):
             await asyncio.sleep(
@@ -56,9 +58,9 @@
             )
             name = f"class-{rng.randrange(3)}"
             spec = {"rank": number, "worth": float(number)}
-            await self._change(rng, name, spec, f"change-{number}")
+            await self._put_priority_class(rng, name, spec, f"change-{number}")
 
-    async def _change(
+    async def _put_priority_class(
         self, rng: random.Random, name: str, spec: dict, change_id: str
     ) -> None:
         version = 0
@@ -82,7 +84,7 @@
             if status == 200:
                 value = msgspec.json.encode(fields["current"]["spec"])
                 self._world.history.accepted.append(
-                    Accepted(
+                    ChangeAccepted(
                         time=self._world.now(),
                         revision=fields["current"]["version"],
                         kind="priority_class",
@@ -100,19 +102,21 @@
             "residency": residency,
             "token_hashes": [hash_token(name)],
         }
-        await self._must_put("client", name, spec)
+        await self._put_with_retries("client", name, spec)
         residencies = self._world.history.residency_by_client
         residencies[name] = frozenset(residency)
 
-    async def _must_put(self, kind: str, name: str, spec: dict) -> None:
+    async def _put_with_retries(
+        self, kind: str, name: str, spec: dict
+    ) -> None:
         body = {"spec": spec, "change_id": f"set-up-{kind}-{name}"}
-        for attempt in range(SET_UP_TRIES):
+        for attempt in range(SET_UP_ATTEMPTS):
             entry = self._world.vm_ids[attempt % 6]
             reply = await self._call(entry, "PUT", f"{kind}/{name}", body)
             if reply is not None and reply[0] == 200:
                 return
             await asyncio.sleep(0.5)
-        raise AssertionError(f"{kind} {name} was never accepted: {reply}")
+        raise AssertionError(f"{kind} {name} was not accepted: {reply}")
 
     async def _call(
         self, entry: str, method: str, path: str, body: dict[str, Any]
@@ -125,7 +129,7 @@
                 "content-type": "application/json",
             },
             body=msgspec.json.encode(body),
-            head_timeout=TIMEOUT,
+            head_timeout=TIMEOUT_SECONDS,
         )
         try:
             answer = await self._world.cluster.client(HOST).open(call)
--- a/tests/histories/test_checkers.py
+++ b/tests/histories/test_checkers.py
@@ -1,4 +1,4 @@
-"""Each checker finds the deliberate bug that it is there for."""
+"""Each checker detects a deliberate bug that violates its invariant."""
 
 import contextlib
 from dataclasses import replace
@@ -38,10 +38,10 @@
 DONE = b"data: [DONE]\n\n"
 
 
-def crash_engines(
+def plan_engine_crashes(
     region: str, *, start: float = 0.1, seconds: float = SECONDS
 ) -> list[Planned]:
-    """Plan the loss of a region's engines."""
+    """Return a plan that crashes the engines of a region."""
     return [
         Planned(
             start=start,
@@ -53,23 +53,23 @@
 
 
 def run(plan: list[Planned], *bugs) -> History:
-    """Run one history with bugs put in; each is a target and its stand-in."""
+    """Run a history with bugs, as arguments of ``mock.patch.object``."""
     world = World(seed=5, plan=plan, seconds=SECONDS, requests=REQUESTS)
     with contextlib.ExitStack() as stack:
-        for owner, name, stand_in in bugs:
-            stack.enter_context(mock.patch.object(owner, name, stand_in))
+        for owner, name, replacement in bugs:
+            stack.enter_context(mock.patch.object(owner, name, replacement))
         return run_virtual(world.run())
 
 
 class CheckerTest(unittest.TestCase):
-    """A bug in the running system is found by its checker."""
+    """Bugs are injected into the running system and detected."""
 
     def assert_found(self, name: str, history: History) -> None:
         self.assertTrue(CHECKERS[name](history), check_all(history))
 
     def test_residency(self):
-        # The engines of one region are gone, and its VMs take every region
-        # for allowed: its clients' requests leave their bounds.
+        # Without engines in their region and without the check, requests are
+        # forwarded outside the residency of their clients.
         def allow_all(configuration, request):
             find_allowed_regions(configuration, request)
             return frozenset(REGIONS)
@@ -77,34 +77,34 @@
         with mock.patch(
             "burdockdrum.requests.exchange.find_allowed_regions", allow_all
         ):
-            history = run(crash_engines("dunantul"))
+            history = run(plan_engine_crashes("dunantul"))
         self.assert_found("residency", history)
 
     def test_no_loop(self):
-        # No summaries arrive any more and the engines of two regions are
-        # gone: each thinks that the other has some. The path is not looked
-        # at, so a request is thrown back and forth.
+        # Two regions without engines each assume from an outdated summary
+        # that the other has some. Without the check of hops they forward a
+        # request back and forth.
         original = Exchange.make_routing_request
 
-        def forget_path(exchange: Exchange) -> RoutingRequest:
+        def drop_hops(exchange: Exchange) -> RoutingRequest:
             return replace(original(exchange), hops=())
 
         plan = [
             Planned(start=0.1, seconds=SECONDS, fault=Lossy(loss=1.0)),
-            *crash_engines("dunantul", start=0.2),
-            *crash_engines("alfold", start=0.2),
+            *plan_engine_crashes("dunantul", start=0.2),
+            *plan_engine_crashes("alfold", start=0.2),
         ]
         history = run(
             plan,
-            (Exchange, "make_routing_request", forget_path),
+            (Exchange, "make_routing_request", drop_hops),
             (Exchange, "_check_forward", lambda *_: None),
             (RequestService, "_check_hops", lambda *_: None),
         )
         self.assert_found("no loop", history)
 
     def test_isolated_region_serves(self):
-        # A VM serves only while it hears from the control VMs.
-        def refuse_when_old(configuration, request):
+        # VMs refuse requests when the control VMs are unreachable.
+        def refuse_when_stale(configuration, request):
             age = configuration.age
             if age is None or age > 3.0:
                 raise Refusal(
@@ -120,16 +120,16 @@
         ]
         with mock.patch(
             "burdockdrum.requests.exchange.find_allowed_regions",
-            refuse_when_old,
+            refuse_when_stale,
         ):
             history = run(plan)
         self.assert_found("isolated region serves", history)
 
     def test_whole_answers(self):
-        # A stream that breaks is ended as if it were complete.
+        # A broken stream ends as if it were complete.
         original = Upstream.read
 
-        async def pretend(upstream: Upstream, seconds: float):
+        async def end_broken_stream(upstream: Upstream, seconds: float):
             try:
                 return await original(upstream, seconds) or DONE
             except AttemptFailed:
@@ -138,31 +138,33 @@
         plan = [
             planned
             for region in REGIONS
-            for planned in crash_engines(region, start=5, seconds=2)
+            for planned in plan_engine_crashes(region, start=5, seconds=2)
         ]
-        history = run(plan, (Upstream, "read", pretend))
+        history = run(plan, (Upstream, "read", end_broken_stream))
         self.assert_found("whole answers", history)
 
     def test_not_run(self):
-        # Whatever was sent, the refusal says that it did not run.
-        def deny(exchange: Exchange, refusal: Refusal) -> Refusal:
+        # Every refusal states that the request did not run.
+        def claim_not_run(exchange: Exchange, refusal: Refusal) -> Refusal:
             return refusal.with_verdict(Verdict.NOT_RUN)
 
         plan = [
             planned
             for start in (2, 5, 8, 11)
             for region in REGIONS
-            for planned in crash_engines(region, start=start, seconds=2)
+            for planned in plan_engine_crashes(region, start=start, seconds=2)
         ]
-        history = run(plan, (Exchange, "_with_combined_verdict", deny))
+        history = run(
+            plan, (Exchange, "_with_combined_verdict", claim_not_run)
+        )
         self.assert_found("not run", history)
 
     def test_at_most_once(self):
-        # Claims are granted and forgotten at once.
+        # Each claim is acquired under a new key, so none conflicts.
         original = Claims.take
         count = iter(range(1000))
 
-        async def forget(claims: Claims, **options):
+        async def use_fresh_key(claims: Claims, **options):
             options["key"] = f"{options['key']}-{next(count)}"
             return await original(claims, **options)
 
@@ -174,12 +176,14 @@
             )
             for number, region in enumerate([*REGIONS, *REGIONS])
         ]
-        history = run(plan, (Claims, "take", forget))
+        history = run(plan, (Claims, "take", use_fresh_key))
         self.assert_found("at most once", history)
 
     def test_leaving(self):
-        # What an endpoint says of its leaving is not looked at.
-        def ignore(registry: EndpointRegistry, service: str) -> list[Endpoint]:
+        # Draining endpoints stay candidates.
+        def list_all_endpoints(
+            registry: EndpointRegistry, service: str
+        ) -> list[Endpoint]:
             return [
                 endpoint
                 for endpoint in registry.endpoints_by_id.values()
@@ -194,12 +198,14 @@
             )
             for region in REGIONS
         ]
-        history = run(plan, (EndpointRegistry, "candidates", ignore))
+        history = run(
+            plan, (EndpointRegistry, "candidates", list_all_endpoints)
+        )
         self.assert_found("leaving", history)
 
     def test_graceful_shutdown(self):
-        # The drain does not wait for what runs.
-        async def hurry(drain: Drain) -> None:
+        # The drain does not wait for requests in flight.
+        async def skip_wait(drain: Drain) -> None:
             return
 
         plan = [
@@ -210,12 +216,12 @@
             )
             for number, region in enumerate(REGIONS)
         ]
-        history = run(plan, (Drain, "_wait_for_requests", hurry))
+        history = run(plan, (Drain, "_wait_for_requests", skip_wait))
         self.assert_found("graceful shutdown", history)
 
     def test_configuration(self):
-        # One VM goes back to what it had in force at the start.
-        def go_back(world: World) -> None:
+        # One VM reverts to its configuration at the start.
+        def revert_one_vm(world: World) -> None:
             vm = world.cluster.vms_by_id["eszak-2"]
             service = vm.kernel.find("configuration", ConfigurationService)
             old = service.current
@@ -234,7 +240,7 @@
                 plan=[],
                 seconds=SECONDS,
                 requests=REQUESTS,
-                mutate=go_back,
+                inject_bug=revert_one_vm,
             )
             history = run_virtual(world.run())
         self.assert_found("configuration", history)
--- a/tests/histories/test_histories.py
+++ b/tests/histories/test_histories.py
@@ -1,4 +1,4 @@
-"""The nine conditions over histories with drawn faults, two at a time."""
+"""Checks the nine invariants over simulated runs with random faults."""
 
 import unittest
 
@@ -68,10 +68,8 @@
         self.assertEqual({"answered"}, endings)
 
     def test_leaving_endpoint_is_left_alone_by_restarted_vms(self):
-        # An endpoint announces that it leaves and goes on reporting while
-        # its work finishes. Then every VM of its region loses power and
-        # forgets it. It has to announce itself again, and got new work for
-        # as long as it lived: its announcement did not say that it leaves.
+        # Guards against new requests for a draining endpoint that announces
+        # itself again after its region's VMs lost power and their registry.
         text = (
             '[{"start": 5.4, "seconds": 2.6, "fault": "LosePower", '
             '"region": "dunantul"}, '
@@ -85,20 +83,18 @@
         plan = decode_plan(text)
         self.check(1001, plan)
 
-    def test_vm_that_crashes_while_it_drains(self):
-        # 5211: the run waited for good for the end of a drain whose VM had
-        # been killed, and 'scripts.histories' with it.
+    def test_vm_crash_while_draining(self):
+        # Guards against a run that waits forever for the drain of a VM that
+        # has crashed.
         plan = [
             Planned(start=5.3, seconds=4.7, fault=DrainVm(vm_id="alfold-1")),
             Planned(start=9.0, seconds=5.6, fault=CrashVm(vm_id="alfold-1")),
         ]
         self.check(5211, plan)
 
-    def test_change_just_after_a_control_vm_was_drained(self):
-        # 8006: the VM that a data centre follows, its own control VM, has
-        # exited after a drain. A change accepted 1.3 s later is in force at
-        # the other VM there only 5 s after it was accepted: it goes on
-        # following the one that is gone until it takes its silence for lost.
+    def test_change_after_a_control_vm_drained(self):
+        # Guards against a late configuration change: a VM that follows a
+        # drained control VM must not wait for the idle timeout to switch.
         plan = [
             Planned(
                 start=11.0,
--- a/tests/histories/world.py
+++ b/tests/histories/world.py
@@ -1,7 +1,7 @@
-"""Three regions in one process: entries, endpoints, callers, operators.
+"""Simulates three regions with VMs, endpoints, callers and an operator.
 
-The VMs run the very services of the daemon over fakes; nothing here knows
-how they work. What callers and endpoints see is recorded.
+The VMs run the services of the daemon on top of fakes. Everything that callers
+and endpoints observe is recorded in a history.
 """
 
 import asyncio
@@ -13,9 +13,9 @@
 
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.histories import Drained
-from burdockdrum.histories import Forwarded
 from burdockdrum.histories import History
 from burdockdrum.histories import InForce
+from burdockdrum.histories import RequestForwarded
 from burdockdrum.peers import Seal
 from burdockdrum.ports import UpstreamCall
 from burdockdrum.requests import FORWARD_HEADER
@@ -61,11 +61,11 @@
 token_hashes = ["{endpoint}"]
 """
 
-Mutation = Callable[["World"], None]
+BugInjection = Callable[["World"], None]
 
 
 class World:
-    """One run; the same seed and plan give the same history."""
+    """A simulated run; the same seed and plan give the same history."""
 
     def __init__(
         self,
@@ -74,12 +74,12 @@
         plan: list[Planned],
         seconds: float = 20.0,
         requests: int = 40,
-        mutate: Mutation | None = None,
+        inject_bug: BugInjection | None = None,
     ) -> None:
-        """Plan a run.
+        """Create a run.
 
-        :param seconds: how long callers send after the warm-up
-        :param mutate: a deliberate bug put in after the VMs have started
+        :param seconds: how long callers send requests after the warm-up
+        :param inject_bug: injects a deliberate bug after the warm-up
         """
         self.rng = random.Random(seed)
         self.history = History()
@@ -90,7 +90,7 @@
         self.seconds = seconds
         self._requests = requests
         self._plan = plan
-        self._mutate = mutate
+        self._inject_bug = inject_bug
         self.operator = Operator(world=self)
         self.numbers = itertools.count(1)
         self.entry_urls_by_vm_id = {v: self.entry_url(v) for v in self.vm_ids}
@@ -98,7 +98,7 @@
 
     @property
     def vm_ids(self) -> list[str]:
-        """Return the ids of all VMs, started or not."""
+        """Return the ids of all VMs, running or not."""
         return [f"{region}-{i}" for region in REGIONS for i in (1, 2)]
 
     def now(self) -> float:
@@ -106,7 +106,7 @@
         return asyncio.get_running_loop().time()
 
     async def run(self) -> History:
-        """Start everything, send the load through the faults, record."""
+        """Run the system, its load and the faults; return the history."""
         self._set_links()
         for vm_id in self.vm_ids:
             await self.start_vm(vm_id)
@@ -115,12 +115,12 @@
         await asyncio.sleep(WARM_UP_SECONDS)
         await self.operator.set_up()
         await asyncio.sleep(WARM_UP_SECONDS)
-        if self._mutate is not None:
-            self._mutate(self)
+        if self._inject_bug is not None:
+            self._inject_bug(self)
         injector = Injector(world=self, plan=self._plan)
         async with asyncio.TaskGroup() as group:
             group.create_task(injector.run())
-            group.create_task(self.operator.keep_changing())
+            group.create_task(self.operator.make_changes())
             for _ in range(self._requests):
                 caller = Caller(
                     world=self, rng=random.Random(self.rng.random())
@@ -134,11 +134,11 @@
         return self.history
 
     def entry_url(self, vm_id: str) -> str:
-        """Return a VM's address for callers."""
+        """Return a VM's HTTP address."""
         return f"http://127.0.0.1:{2001 + self.vm_ids.index(vm_id)}"
 
     async def start_vm(self, vm_id: str) -> None:
-        """Start a VM, unless it runs, and record what is passed on to it."""
+        """Start a VM unless it runs; record requests forwarded to it."""
         if vm_id in self.cluster.vms_by_id:
             return
         vm = await self.cluster.start_vm(self._settings(vm_id))
@@ -162,23 +162,23 @@
         return [*hosts, f"{region}-caller"]
 
     def hosts(self) -> list[str]:
-        """Return every host, the operator's among them."""
+        """Return every host, including the operator's."""
         inside = [host for region in REGIONS for host in self.hosts_in(region)]
         return [*inside, OPERATOR_HOST]
 
     async def crash_vm(self, vm_id: str) -> None:
-        """Stop a VM at once, if it runs."""
+        """Crash a VM if it runs."""
         if vm_id in self.cluster.vms_by_id:
             await self.cluster.crash_vm(vm_id)
 
-    def lose_unsynced(self, vm_id: str) -> None:
-        """Lose what a VM's disk, if it has one, had not synced."""
+    def lose_unsynced_writes(self, vm_id: str) -> None:
+        """Simulate a power loss of a VM's disk, if it has one."""
         disk = self.cluster.disks_by_vm_id.get(vm_id)
         if disk is not None:
             disk.lose_power()
 
     def lose_disk(self, vm_id: str) -> None:
-        """Empty the disk of a VM that is stopped."""
+        """Wipe the disk of a stopped VM."""
         self.cluster.disks_by_vm_id[vm_id].wipe()
 
     async def drain_vm(self, vm_id: str) -> None:
@@ -196,7 +196,7 @@
         )
         done.cancel()
         if vm.task.done():
-            # It crashed on its way out.
+            # The VM crashed while draining.
             return
         self.history.drained.append(
             Drained(time=start, until=self.now(), vm_id=vm_id)
@@ -208,7 +208,7 @@
         header = open_header(self._seal, text, call.body)
         assert header is not None
         self.history.forwarded.append(
-            Forwarded(
+            RequestForwarded(
                 time=self.now(),
                 data_centre=data_centre,
                 request_id=header.request_id,
@@ -222,7 +222,7 @@
                 service = vm.kernel.find("configuration", ConfigurationService)
                 current = service.current
                 values = tuple(
-                    (f"{key.kind}/{key.name}", _value(resource.spec))
+                    (f"{key.kind}/{key.name}", _encode_spec(resource.spec))
                     for key, resource in current.resources_by_key.items()
                     if key.kind == "priority_class"
                 )
@@ -254,7 +254,7 @@
             f"{name}-1": self._control_address(f"{name}-1") for name in REGIONS
         }
         is_member = vm_id in members
-        # The VM with a disk keeps the claims of its region.
+        # The VM with a disk stores the claims of its region.
         keeper = f"{region}-1"
         keepers = {keeper: members[keeper]}
         return read_settings(
@@ -267,8 +267,8 @@
                 join_a=self._control_address("dunantul-1"),
                 join_b=self._control_address("alfold-1"),
                 data='data_folder = "unused"' if is_member else "",
-                members=_show_table(members),
-                keepers=_show_table(keepers),
+                members=_format_table(members),
+                keepers=_format_table(keepers),
                 operator=hash_token("operator"),
                 endpoint=hash_token("endpoint"),
             )
@@ -278,9 +278,9 @@
         return f"tcp://127.0.0.1:{1001 + self.vm_ids.index(vm_id)}"
 
 
-def _show_table(addresses: dict[str, str]) -> str:
+def _format_table(addresses: dict[str, str]) -> str:
     return "\n".join(f'{k} = "{v}"' for k, v in addresses.items())
 
 
-def _value(spec: object) -> str:
+def _encode_spec(spec: object) -> str:
     return msgspec.json.encode(spec).decode()
