--- a/burdockdrum/testing/__init__.py
+++ b/burdockdrum/testing/__init__.py
@@ -1,6 +1,6 @@
-"""Fakes for the ports: virtual time, a network that fails, a lossy disk.
+"""Fakes for the ports: virtual time, a faulty network and a lossy disk.
 
-They are part of the package because an embedder's tests need them too.
+They are part of the package so that applications that embed it can use them.
 """
 
 from burdockdrum.testing.asgi import AsgiServer
--- a/burdockdrum/testing/asgi.py
+++ b/burdockdrum/testing/asgi.py
@@ -1,7 +1,7 @@
-"""Serve an ASGI application in memory, without sockets.
+"""Serves ASGI applications in memory, without sockets.
 
-It lets whole VMs and stand-ins talk HTTP under virtual time: the same
-application that uvicorn serves answers calls of ``FakeHttpClient``.
+VMs and emulated endpoints use it for HTTP under virtual time: the application
+that uvicorn serves in production handles requests of ``FakeHttpClient``.
 """
 
 import asyncio
@@ -13,20 +13,20 @@
 from burdockdrum.ports import UpstreamCall
 from burdockdrum.testing.http import FakeAnswer
 
-# What uvicorn buffers before a slow reader holds the application back.
-MAX_UNREAD_PARTS = 64
+# Applies backpressure to the application when the client reads slowly.
+MAX_BUFFERED_CHUNKS = 64
 
 
 class AsgiServer:
-    """A server for ``FakeWeb.serve`` that calls an application."""
+    """A server for ``FakeWeb.serve`` that runs an ASGI application."""
 
     def __init__(self, *, application: Any) -> None:
-        """Create a server without calls."""
+        """Create a server without requests in flight."""
         self._application = application
         self._exchanges: set[_Exchange] = set()
 
     async def __call__(self, call: UpstreamCall) -> FakeAnswer:
-        """Answer a call."""
+        """Handle a request and return its response."""
         exchange = _Exchange(call)
         self._exchanges.add(exchange)
         task = asyncio.create_task(exchange.run(self._application))
@@ -35,80 +35,87 @@
         try:
             status, headers = await asyncio.shield(exchange.head)
         except asyncio.CancelledError:
-            exchange.hang_up()
+            exchange.disconnect()
             raise
         return FakeAnswer(
             status=status,
             headers=headers,
-            body=exchange.parts(),
-            on_close=exchange.hang_up,
+            body=exchange.chunks(),
+            on_close=exchange.disconnect,
         )
 
     def abort(self) -> None:
-        """Break off every call, as when the process is killed."""
+        """Abort every request, as when the process is killed."""
         for exchange in list(self._exchanges):
             exchange.abort()
 
 
 def serve_asgi(application: Any) -> AsgiServer:
-    """Return a server for ``FakeWeb.serve`` that calls the application."""
+    """Return a server for ``FakeWeb.serve`` that runs the application."""
     return AsgiServer(application=application)
 
 
 class _Exchange:
-    """One call to the application and its answer."""
+    """A request to the application and its response."""
 
     def __init__(self, call: UpstreamCall) -> None:
         self._call = call
         self._body_sent = False
-        self._gone = asyncio.Event()
-        self._parts: asyncio.Queue[bytes | None] = asyncio.Queue(
-            MAX_UNREAD_PARTS
+        self._disconnected = asyncio.Event()
+        self._chunks: asyncio.Queue[bytes | None] = asyncio.Queue(
+            MAX_BUFFERED_CHUNKS
         )
         self._complete = False
         self.head: asyncio.Future[tuple[int, dict[str, str]]] = (
             asyncio.Future()
         )
-        # A caller that has gone does not ask what became of the head.
-        self.head.add_done_callback(_note_retrieved)
+        # Avoids asyncio's log of an exception that was never retrieved, when
+        # the client has disconnected.
+        self.head.add_done_callback(_retrieve_exception)
         self.task: asyncio.Task[None] | None = None
 
     async def run(self, application: Any) -> None:
-        """Call the application; an end without the last part is a cut."""
+        """Run the application until it returns or its connection breaks."""
         try:
             await application(self._scope(), self._receive, self._send)
         except OSError:
             pass
         finally:
             if not self.head.done():
-                self.head.set_exception(AnswerLost("no head of an answer"))
-        if not self._gone.is_set():
-            await self._parts.put(None)
+                self.head.set_exception(
+                    AnswerLost(
+                        "the connection closed before the response head"
+                    )
+                )
+        if not self._disconnected.is_set():
+            await self._chunks.put(None)
 
     def abort(self) -> None:
-        """Stop the application; the caller sees its connection break."""
+        """Cancel the application; the client sees the connection break."""
         if self.task is not None:
             self.task.cancel()
         self._complete = False
-        while not self._parts.empty():
-            self._parts.get_nowait()
-        self._parts.put_nowait(None)
-
-    def hang_up(self) -> None:
-        """Let the application see that its caller has gone."""
-        self._gone.set()
-        while not self._parts.empty():
-            self._parts.get_nowait()
-
-    async def parts(self) -> AsyncIterator[bytes]:
-        """Yield the parts of the body."""
+        while not self._chunks.empty():
+            self._chunks.get_nowait()
+        self._chunks.put_nowait(None)
+
+    def disconnect(self) -> None:
+        """Signal the application that its client has disconnected."""
+        self._disconnected.set()
+        while not self._chunks.empty():
+            self._chunks.get_nowait()
+
+    async def chunks(self) -> AsyncIterator[bytes]:
+        """Yield the chunks of the body."""
         while True:
-            part = await self._parts.get()
-            if part is None:
+            chunk = await self._chunks.get()
+            if chunk is None:
                 break
-            yield part
+            yield chunk
         if not self._complete:
-            raise AnswerLost("the answer was cut")
+            raise AnswerLost(
+                "the connection closed before the end of the response"
+            )
 
     async def _receive(self) -> dict[str, Any]:
         if not self._body_sent:
@@ -118,11 +125,11 @@
                 "body": self._call.body,
                 "more_body": False,
             }
-        await self._gone.wait()
+        await self._disconnected.wait()
         return {"type": "http.disconnect"}
 
     async def _send(self, message: dict[str, Any]) -> None:
-        if self._gone.is_set():
+        if self._disconnected.is_set():
             return
         if message["type"] == "http.response.start":
             headers = {
@@ -133,35 +140,37 @@
                 self.head.set_result((message["status"], headers))
             return
         if message.get("body"):
-            await self._parts.put(message["body"])
+            await self._chunks.put(message["body"])
         if not message.get("more_body"):
             self._complete = True
 
     def _scope(self) -> dict[str, Any]:
-        parts = urlsplit(self._call.url)
+        url = urlsplit(self._call.url)
         headers = [
             (name.lower().encode(), value.encode("latin-1"))
             for name, value in self._call.headers.items()
         ]
         length = str(len(self._call.body)).encode()
         headers.append((b"content-length", length))
-        headers.append((b"host", parts.netloc.encode()))
+        headers.append((b"host", url.netloc.encode()))
         return {
             "type": "http",
             "asgi": {"version": "3.0"},
             "http_version": "1.1",
             "method": self._call.method,
-            "scheme": parts.scheme,
-            "path": parts.path,
-            "raw_path": parts.path.encode(),
-            "query_string": parts.query.encode(),
+            "scheme": url.scheme,
+            "path": url.path,
+            "raw_path": url.path.encode(),
+            "query_string": url.query.encode(),
             "headers": headers,
             "client": ("127.0.0.1", 1),
-            "server": (parts.hostname, parts.port),
+            "server": (url.hostname, url.port),
             "root_path": "",
         }
 
 
-def _note_retrieved(head: asyncio.Future[tuple[int, dict[str, str]]]) -> None:
+def _retrieve_exception(
+    head: asyncio.Future[tuple[int, dict[str, str]]],
+) -> None:
     if not head.cancelled():
         head.exception()
--- a/burdockdrum/testing/disk.py
+++ b/burdockdrum/testing/disk.py
@@ -1,4 +1,4 @@
-"""A disk in memory that keeps only what was synced."""
+"""An in-memory disk that loses unsynced writes at a power loss."""
 
 import asyncio
 import random
@@ -7,10 +7,10 @@
 
 
 class FakeDisk:
-    """Files with the content that lasts apart from the content seen.
+    """Files with separate visible and durable contents.
 
-    ``fail_syncs``, ``full`` and ``sync_seconds`` bring about a sync error, a
-    full disk and a slow one.
+    ``fail_syncs``, ``full`` and ``sync_seconds`` simulate a failing sync, a
+    full disk and a slow disk.
     """
 
     def __init__(self, *, rng: random.Random) -> None:
@@ -18,38 +18,40 @@
         self._rng = rng
         self._seen: dict[str, bytes] = {}
         self._synced: dict[str, bytes] = {}
-        self._folder: set[str] = set()
-        self._moved: dict[str, bytes] = {}
+        self._synced_names: set[str] = set()
+        self._replaced_contents: dict[str, bytes] = {}
         self.fail_syncs = False
         self.full = False
         self.sync_seconds = 0.0
         self.syncs = 0
 
     def lose_power(self) -> None:
-        """Keep what was synced, and a random part of what was appended.
+        """Keep synced contents and a random part of unsynced appends.
 
-        The part that was appended after the last sync may last up to any
-        byte, so the last record may be torn. A file that was created,
-        renamed or removed without ``sync_folder`` is as it was before.
+        Appends since the last sync are truncated at a random byte, so the
+        last record may be torn. Creations, renames and removals without
+        ``sync_folder`` are undone.
         """
-        kept: dict[str, bytes] = {}
-        for name in self._folder:
-            synced = self._moved.get(name, self._synced.get(name, b""))
+        durable: dict[str, bytes] = {}
+        for name in self._synced_names:
+            synced = self._replaced_contents.get(
+                name, self._synced.get(name, b"")
+            )
             seen = self._seen.get(name, b"")
-            if name not in self._moved and seen.startswith(synced):
+            if name not in self._replaced_contents and seen.startswith(synced):
                 extra = self._rng.randint(0, len(seen) - len(synced))
                 synced = seen[: len(synced) + extra]
-            kept[name] = synced
-        self._seen = dict(kept)
-        self._synced = dict(kept)
-        self._moved = {}
+            durable[name] = synced
+        self._seen = dict(durable)
+        self._synced = dict(durable)
+        self._replaced_contents = {}
 
     def wipe(self) -> None:
-        """Lose every file, as when the disk is replaced."""
+        """Remove every file, as when the disk is replaced."""
         self._seen.clear()
         self._synced.clear()
-        self._folder.clear()
-        self._moved.clear()
+        self._synced_names.clear()
+        self._replaced_contents.clear()
 
     def corrupt(self, name: str, offset: int) -> None:
         """Flip the bits of one byte of a file."""
@@ -64,15 +66,15 @@
 
     async def write(self, name: str, content: bytes) -> None:
         """Create a file or replace its content, unsynced."""
-        self._check_room()
-        if name in self._folder and name not in self._moved:
+        self._check_free_space()
+        if name in self._synced_names and name not in self._replaced_contents:
             # Until the sync, power loss may leave the old content.
             self._synced.setdefault(name, b"")
         self._seen[name] = content
 
     async def append(self, name: str, content: bytes) -> None:
         """Add to the end of a file, creating it, unsynced."""
-        self._check_room()
+        self._check_free_space()
         self._seen[name] = self._seen.get(name, b"") + content
 
     async def truncate(self, name: str, size: int) -> None:
@@ -80,35 +82,35 @@
         self._seen[name] = self._seen[name][:size]
 
     async def sync(self, name: str) -> None:
-        """Make a file's content last."""
+        """Make a file's content durable."""
         await self._sync()
         self._synced[name] = self._seen[name]
 
     async def rename(self, old: str, new: str) -> None:
         """Rename a file over another."""
-        if new in self._folder and new not in self._moved:
-            self._moved[new] = self._synced.get(new, b"")
+        if new in self._synced_names and new not in self._replaced_contents:
+            self._replaced_contents[new] = self._synced.get(new, b"")
         self._seen[new] = self._seen.pop(old)
         self._synced[new] = self._synced.pop(old, b"")
 
     async def remove(self, name: str) -> None:
         """Remove a file if it is there."""
-        if name in self._folder and name not in self._moved:
-            self._moved[name] = self._synced.get(name, b"")
+        if name in self._synced_names and name not in self._replaced_contents:
+            self._replaced_contents[name] = self._synced.get(name, b"")
         self._seen.pop(name, None)
         self._synced.pop(name, None)
 
     async def sync_folder(self) -> None:
-        """Make creations, renames and removals last."""
+        """Make creations, renames and removals durable."""
         await self._sync()
-        self._folder = set(self._seen)
-        self._moved = {}
+        self._synced_names = set(self._seen)
+        self._replaced_contents = {}
 
     async def list(self) -> list[str]:
         """Return the names of the files, sorted."""
         return sorted(self._seen)
 
-    def _check_room(self) -> None:
+    def _check_free_space(self) -> None:
         if self.full:
             raise DiskError("no space left on device")
 
--- a/burdockdrum/testing/http.py
+++ b/burdockdrum/testing/http.py
@@ -1,4 +1,4 @@
-"""HTTP calls in memory, over the same cuts as the control network."""
+"""In-memory HTTP with the delays and partitions of the fake network."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -18,7 +18,7 @@
 
 
 class FakeAnswer:
-    """What a server in memory answers."""
+    """The response of an in-memory server."""
 
     def __init__(
         self,
@@ -28,10 +28,10 @@
         body: AsyncIterator[bytes] | bytes = b"",
         on_close: Callable[[], None] | None = None,
     ) -> None:
-        """Create an answer.
+        """Create a response.
 
-        :param body: the whole body, or its parts as they are made
-        :param on_close: called when the caller closes early
+        :param body: the whole body, or an iterator of its chunks
+        :param on_close: called when the client closes early
         """
         self.status = status
         self.headers = dict(headers or {})
@@ -40,15 +40,15 @@
 
 
 class FakeWeb:
-    """The servers of a test by host and port."""
+    """The HTTP servers of a test, by host and port of their URLs."""
 
     def __init__(self, *, network: FakeNetwork) -> None:
-        """Create a web without servers."""
+        """Create a registry without servers."""
         self.network = network
         self._servers_by_netloc: dict[str, tuple[str, Server]] = {}
 
     def serve(self, url: str, host: str, server: Server) -> None:
-        """Let a host answer the calls under a URL's host and port."""
+        """Register a server on a host for a URL's host and port."""
         self._servers_by_netloc[urlsplit(url).netloc] = (host, server)
 
     def stop(self, url: str) -> None:
@@ -56,12 +56,12 @@
         self._servers_by_netloc.pop(urlsplit(url).netloc, None)
 
     def find(self, url: str) -> tuple[str, Server] | None:
-        """Return who serves a URL."""
+        """Return the host and the server of a URL, or None."""
         return self._servers_by_netloc.get(urlsplit(url).netloc)
 
 
 class FakeHttpClient:
-    """The HTTP port of one host of a test."""
+    """The HTTP client of one host of a test."""
 
     def __init__(self, *, web: FakeWeb, host: str) -> None:
         """Create the client of a host."""
@@ -69,29 +69,29 @@
         self._host = host
 
     async def open(self, call: UpstreamCall) -> UpstreamAnswer:
-        """Send a request and wait for the head of its answer."""
+        """Send a request and wait for the head of its response."""
         found = self._web.find(call.url)
         if found is None:
             raise ConnectFailed(f"connection refused: {call.url}")
         target, server = found
-        there = self._web.network.link(self._host, target)
-        back = self._web.network.link(target, self._host)
-        if there.cut or back.cut:
+        outbound = self._web.network.link(self._host, target)
+        inbound = self._web.network.link(target, self._host)
+        if outbound.cut or inbound.cut:
             await asyncio.sleep(call.connect_timeout)
             raise ConnectFailed(f"connect timed out: {call.url}")
-        # A round trip for the connection and the way there.
-        await asyncio.sleep(2 * there.delay + back.delay)
+        # A round trip to connect, then one way for the request.
+        await asyncio.sleep(2 * outbound.delay + inbound.delay)
         try:
             async with asyncio.timeout(call.head_timeout):
                 answer = await server(call)
-                await asyncio.sleep(back.delay)
+                await asyncio.sleep(inbound.delay)
                 await self._wait_for_link(target)
         except TimeoutError:
-            raise AnswerLost(f"no answer: {call.url}") from None
-        return _OpenAnswer(client=self, target=target, answer=answer)
+            raise AnswerLost(f"no response: {call.url}") from None
+        return _OpenResponse(client=self, target=target, answer=answer)
 
     def is_cut(self, target: str) -> bool:
-        """Say whether nothing comes back from a host."""
+        """Return whether the link back from a host is cut."""
         return self._web.network.link(target, self._host).cut
 
     async def _wait_for_link(self, target: str) -> None:
@@ -99,7 +99,7 @@
             await asyncio.sleep(_POLL_SECONDS)
 
 
-class _OpenAnswer:
+class _OpenResponse:
     def __init__(
         self, *, client: FakeHttpClient, target: str, answer: FakeAnswer
     ) -> None:
@@ -124,7 +124,7 @@
             self._complete = True
             return
         async for chunk in body:
-            # A cut is silent: nothing comes until it heals.
+            # A partition closes no connection: chunks wait until it heals.
             while self._client.is_cut(self._target):
                 await asyncio.sleep(_POLL_SECONDS)
             yield chunk
--- a/burdockdrum/testing/network.py
+++ b/burdockdrum/testing/network.py
@@ -1,4 +1,4 @@
-"""A control network in memory that fails as told."""
+"""An in-memory control network with fault injection."""
 
 import asyncio
 from dataclasses import dataclass
@@ -11,10 +11,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LinkState:
-    """What happens to payloads from one host to another.
+    """The state of the link from one host to another.
 
-    ``delay`` and ``jitter`` are seconds; jitter reorders. ``loss`` and
-    ``duplicate`` are probabilities. A link that is ``cut`` drops silently.
+    ``delay`` and ``jitter`` are in seconds; jitter reorders payloads.
+    ``loss`` and ``duplicate`` are probabilities. A link that is ``cut`` drops
+    payloads without an error.
     """
 
     delay: float = 0.001
@@ -28,7 +29,7 @@
     """The links between all hosts of a test."""
 
     def __init__(self, *, rng: random.Random) -> None:
-        """Create a network whose links are all good."""
+        """Create a network without faults."""
         self._rng = rng
         self._default = LinkState()
         self._links: dict[tuple[str, str], LinkState] = {}
@@ -38,11 +39,11 @@
         self.bytes_by_host: dict[str, int] = {}
 
     def host(self, name: str) -> "HostNetwork":
-        """Return the network port of one host."""
+        """Return the control network as seen by one host."""
         return HostNetwork(network=self, name=name)
 
     def set_default(self, **changes: float | bool) -> None:
-        """Change the state of links that were not set one by one."""
+        """Change the state of links that were not set individually."""
         self._default = replace(self._default, **changes)  # type: ignore
 
     def set_link(
@@ -55,7 +56,7 @@
     ) -> None:
         """Change the link between two hosts.
 
-        :param both: also the way back; False makes a one-way fault
+        :param both: change the reverse link too
         """
         state = replace(self.link(source, target), **changes)  # type: ignore
         self._links[(source, target)] = state
@@ -71,13 +72,13 @@
     def cut(
         self, sources: list[str], targets: list[str], *, both: bool = True
     ) -> None:
-        """Drop everything from one group of hosts to another."""
+        """Cut the links from one group of hosts to another."""
         self._set_cut(sources, targets, both, True)
 
     def heal(
         self, sources: list[str], targets: list[str], *, both: bool = True
     ) -> None:
-        """Undo a cut."""
+        """Restore links that were cut."""
         self._set_cut(sources, targets, both, False)
 
     def _set_cut(
@@ -89,7 +90,7 @@
                     self.set_link(source, target, both=both, cut=cut)
 
     def open(self, host: str, address: str) -> "_FakeMailbox":
-        """Open a mailbox for a host; port 0 takes a free one."""
+        """Open a mailbox for a host; port 0 selects a free port."""
         if address.endswith(":0"):
             address = f"{address[:-1]}{self._next_port}"
             self._next_port += 1
@@ -97,18 +98,21 @@
         self._mailboxes_by_address[address] = mailbox
         return mailbox
 
-    def forget(self, mailbox: "_FakeMailbox") -> None:
-        """Drop a mailbox that was closed."""
+    def remove_mailbox(self, mailbox: "_FakeMailbox") -> None:
+        """Remove a closed mailbox."""
         if self._mailboxes_by_address.get(mailbox.address) is mailbox:
             del self._mailboxes_by_address[mailbox.address]
 
     def deliver(self, host: str, address: str, payload: bytes) -> None:
-        """Carry a payload, as the link's state says."""
+        """Deliver a payload according to the state of its link.
+
+        :raises SendFailed: if no mailbox has the address
+        """
         sent = self.bytes_by_host.get(host, 0)
         self.bytes_by_host[host] = sent + len(payload)
         target = self._mailboxes_by_address.get(address)
         if target is None:
-            raise SendFailed(f"nobody listens on {address}")
+            raise SendFailed(f"no mailbox listens on {address}")
         link = self.link(host, target.host)
         copies = 2 if self._rng.random() < link.duplicate else 1
         for _ in range(copies):
@@ -116,9 +120,9 @@
                 continue
             delay = link.delay + self._rng.random() * link.jitter
             loop = asyncio.get_running_loop()
-            loop.call_later(delay, self._arrive, host, address, payload)
+            loop.call_later(delay, self._receive, host, address, payload)
 
-    def _arrive(self, host: str, address: str, payload: bytes) -> None:
+    def _receive(self, host: str, address: str, payload: bytes) -> None:
         target = self._mailboxes_by_address.get(address)
         if target is None or self.link(host, target.host).cut:
             return
@@ -127,10 +131,10 @@
 
 
 class HostNetwork:
-    """The control network as one host sees it."""
+    """The control network as seen by one host."""
 
     def __init__(self, *, network: FakeNetwork, name: str) -> None:
-        """Create the port of a host."""
+        """Create the view of one host."""
         self._network = network
         self._name = name
 
@@ -156,10 +160,10 @@
         self._network.deliver(self.host, address, payload)
 
     def renew(self, address: str) -> None:
-        """Do nothing: a link in memory has no connection that hangs."""
+        """Do nothing: in-memory links have no connections to reopen."""
 
     async def receive(self) -> bytes:
         return await self.queue.get()
 
     async def close(self) -> None:
-        self._network.forget(self)
+        self._network.remove_mailbox(self)
--- a/burdockdrum/testing/peers.py
+++ b/burdockdrum/testing/peers.py
@@ -1,4 +1,4 @@
-"""A message service by itself, without the rest of a VM."""
+"""A message service for tests, without the other services of a VM."""
 
 import random
 
@@ -19,7 +19,7 @@
     secret: bytes = b"secret of a test",
     metrics: Metrics | None = None,
 ) -> Peers:
-    """Return the message service of a VM that is nothing else."""
+    """Return a message service with the identity of a test VM."""
     return Peers(
         identity=VmIdentity(
             vm_id=vm_id,
--- a/burdockdrum/testing/virtual_time.py
+++ b/burdockdrum/testing/virtual_time.py
@@ -1,7 +1,6 @@
-"""An event loop whose time jumps to the next timer.
+"""An event loop under virtual time, which jumps to the next timer.
 
-Sleeping costs nothing, and two runs of the same program with the same seeds
-make the same steps.
+Sleeps take no real time, and runs with the same seeds are identical.
 """
 
 import asyncio
@@ -12,16 +11,16 @@
 
 T = TypeVar("T")
 
-# Wall time of a virtual run starts here: an arbitrary day.
+# Wall-clock time at the start of a virtual run, in seconds since the epoch.
 EPOCH = 1_800_000_000.0
 
 
 class NothingScheduled(Exception):
-    """Every task waits for something that can't happen any more."""
+    """All tasks are blocked and no timer is set: a deadlock."""
 
 
-class _JumpingSelector(selectors.SelectSelector):
-    """A selector that moves the loop's time instead of waiting."""
+class _VirtualTimeSelector(selectors.SelectSelector):
+    """A selector that advances the loop's time instead of blocking."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -32,33 +31,33 @@
         if ready:
             return ready
         if timeout is None:
-            raise NothingScheduled("all tasks wait and no timer is set")
+            raise NothingScheduled("all tasks are blocked and no timer is set")
         self.now += max(0.0, timeout)
         return []
 
 
 class _VirtualLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        return self._jumping.now
+        return self._virtual_selector.now
 
 
 def run_virtual(main: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine to its end under virtual time.
+    """Run a coroutine to completion under virtual time.
 
-    :raises NothingScheduled: if the program hangs
+    :raises NothingScheduled: if the program deadlocks
     """
     with asyncio.Runner(loop_factory=_VirtualLoop) as runner:
         return runner.run(main)
 
 
 class VirtualClock:
-    """One VM's clock in a virtual run, which may drift and be set wrong.
+    """The clock of one VM under virtual time, with drift and offset.
 
-    ``rate`` is how many seconds it counts in one second of the loop.
+    ``rate`` is the number of its seconds per second of the event loop.
     """
 
     def __init__(self, *, rate: float = 1.0, wall_offset: float = 0.0) -> None:
@@ -67,13 +66,13 @@
         self._wall_offset = wall_offset
 
     def monotonic(self) -> float:
-        """Return this VM's seconds."""
+        """Return monotonic seconds by this VM's clock."""
         return asyncio.get_running_loop().time() * self._rate
 
     def wall(self) -> float:
-        """Return this VM's idea of seconds since the epoch."""
+        """Return seconds since the epoch by this VM's clock."""
         return EPOCH + self.monotonic() + self._wall_offset
 
     async def sleep(self, seconds: float) -> None:
-        """Wait for so many seconds of this VM."""
+        """Sleep for seconds by this VM's clock."""
         await asyncio.sleep(seconds / self._rate)
--- a/burdockdrum/testing/vms.py
+++ b/burdockdrum/testing/vms.py
@@ -1,8 +1,7 @@
-"""Whole VMs in one process, over the fakes.
+"""Complete VMs in one process, on top of the fakes.
 
-A ``FakeCluster`` starts the very services that the daemon runs, with its
-ports replaced, so that a test can cut, crash and restart VMs under virtual
-time. It holds no behaviour of its own.
+A ``FakeCluster`` starts the services of the daemon with faked ports, so that
+tests can partition, crash and restart VMs under virtual time.
 """
 
 import asyncio
@@ -24,10 +23,10 @@
 
 
 class FakeVm:
-    """One VM that was started; ``stop`` is a crash."""
+    """A running VM of a cluster."""
 
     def __init__(self, *, identity: VmIdentity, kernel: Kernel) -> None:
-        """Take over a kernel whose services are named."""
+        """Create a VM from an assembled kernel."""
         self.identity = identity
         self.kernel = kernel
         self.server: AsgiServer | None = None
@@ -35,7 +34,7 @@
 
 
 class FakeCluster:
-    """VMs by id over one network and one web."""
+    """VMs that share one network and one set of HTTP servers."""
 
     def __init__(self, *, seed: int) -> None:
         """Create a cluster without VMs."""
@@ -44,12 +43,12 @@
         self.web = FakeWeb(network=self.network)
         self.vms_by_id: dict[str, FakeVm] = {}
         self.disks_by_vm_id: dict[str, FakeDisk] = {}
-        # How many seconds a VM's clock counts in a second; 1 if not named.
+        # Seconds of a VM's clock per second of the event loop; 1 by default.
         self.clock_rates_by_vm_id: dict[str, float] = {}
         self._incarnation = 0
 
     async def start_vm(self, settings: Settings) -> FakeVm:
-        """Start a VM, or start it again after a crash."""
+        """Start a VM, or restart it after a crash."""
         vm_id = settings.vm.id
         self._incarnation += 1
         mailbox = await self.network.host(vm_id).open(settings.listen.control)
@@ -80,7 +79,7 @@
         return vm
 
     async def crash_vm(self, vm_id: str) -> None:
-        """Stop a VM at once; what it held in memory is lost."""
+        """Crash a VM: its memory is lost, its disk is kept."""
         vm = self.vms_by_id.pop(vm_id)
         self.web.stop(vm.identity.http_address)
         assert vm.task is not None
@@ -99,10 +98,10 @@
         return self.disks_by_vm_id[vm_id]
 
     async def stop(self) -> None:
-        """Stop every VM."""
+        """Crash every VM."""
         for vm_id in list(self.vms_by_id):
             await self.crash_vm(vm_id)
 
     def client(self, host: str) -> FakeHttpClient:
-        """Return the HTTP port of a caller or an endpoint."""
+        """Return the HTTP client of a caller or an endpoint."""
         return FakeHttpClient(web=self.web, host=host)
--- a/tests/testing/test_disk.py
+++ b/tests/testing/test_disk.py
@@ -1,4 +1,4 @@
-"""Tests of the disk that keeps only what was synced."""
+"""Tests of the in-memory disk."""
 
 import random
 import unittest
@@ -9,7 +9,7 @@
 
 
 class FakeDiskTest(unittest.TestCase):
-    """What lasts over a loss of power."""
+    """Durability of files over a power loss."""
 
     def test_unsynced_tail_may_tear_but_synced_part_lasts(self):
         async def main():
