--- a/tests/drawing.py
+++ b/tests/drawing.py
@@ -1,14 +1,14 @@
-"""How hypothesis draws in this project's tests."""
+"""Settings of Hypothesis for the tests."""
 
 from hypothesis import HealthCheck
 from hypothesis import settings
 
 
 def draw(examples: int) -> settings:
-    """Return settings that give the same verdict on every run.
+    """Return settings for a reproducible number of examples.
 
-    The examples are the same each time, none is kept in a folder, and no
-    limit on wall time fails a test on a busy machine.
+    The examples are derandomized and not stored in a database. Without a
+    deadline, a busy machine fails no test.
     """
     return settings(
         derandomize=True,
--- a/tests/fuzzing/test_http1.py
+++ b/tests/fuzzing/test_http1.py
@@ -1,4 +1,4 @@
-"""Throw bytes at a listener: it answers or closes, and goes on."""
+"""Fuzzes the HTTP/1.1 listener: it responds or closes the connection."""
 
 import asyncio
 import unittest
@@ -30,7 +30,7 @@
 
 
 class Http1FuzzTest(ListenerCase, unittest.TestCase):
-    """Requests put together from pieces that fit and don't."""
+    """Requests made of valid and invalid pieces in any order."""
 
     @settings(max_examples=150, deadline=None)
     @given(strategies.lists(PIECES, max_size=12))
@@ -48,7 +48,8 @@
         answer = await self.send(data)
         count = answer.count(b"HTTP/1.1 200 ")
         self.assertEqual(len(bodies), count)
-        # A body has the one length that its head names.
+        # Guards against request smuggling: each body has the length that its
+        # head declares.
         self.assertTrue(
             all(len(b) in (0, 1) or len(b) % 3 == 0 for b in bodies)
         )
--- a/tests/fuzzing/test_http_bodies.py
+++ b/tests/fuzzing/test_http_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies and headers that a caller may send, through the whole face."""
+"""Fuzzes request bodies and headers through the whole HTTP API."""
 
 import asyncio
 import unittest
@@ -50,7 +50,7 @@
 
 
 async def send_all(cases: list) -> list[tuple[int, bytes]]:
-    """Send each case to one VM; return the statuses and bodies."""
+    """Send each case to one VM and return the statuses and bodies."""
     cluster = FakeCluster(seed=1)
     await cluster.start_vm(make_settings("a", "north", 1))
     await asyncio.sleep(4)
@@ -75,7 +75,7 @@
 
 
 class HttpBodyTest(unittest.TestCase):
-    """Bad input is refused as not run, and the VM goes on serving."""
+    """Invalid input is refused as not run, and the VM keeps serving."""
 
     @FUZZ
     @given(BODIES)
--- a/tests/fuzzing/test_peer_messages.py
+++ b/tests/fuzzing/test_peer_messages.py
@@ -1,4 +1,4 @@
-"""Garbage and damaged frames at the control port."""
+"""Fuzzes the control port with invalid and corrupted frames."""
 
 import asyncio
 import random
@@ -22,14 +22,17 @@
 
 
 class Note(Message, frozen=True, kw_only=True):
-    """A message of the test."""
+    """A test message."""
 
     number: int
     text: str = ""
 
 
 async def receive_all(payloads: list[bytes]) -> tuple[list[int], float]:
-    """Deliver payloads, then a good message; return what was handled."""
+    """Deliver payloads, then a valid message.
+
+    :returns: the numbers of handled messages and the count of dropped frames
+    """
     network = FakeNetwork(rng=random.Random(1))
     mailbox = await network.host("vm").open("mem://vm:1")
     metrics = Metrics()
@@ -60,7 +63,7 @@
 
 
 def make_frame(note: Note) -> bytes:
-    """Return a sealed frame that holds one message."""
+    """Return a signed frame with one message."""
     body = msgspec.Raw(msgspec.msgpack.encode(note))
     envelope = (Note.kind(), 0, False, body)
     frame = ("other", "mem://other:1", 1, (0, 0), [envelope])
@@ -68,7 +71,7 @@
 
 
 class PeerMessageTest(unittest.TestCase):
-    """A VM drops what it can't read and handles the next good message."""
+    """A VM drops invalid frames and handles the next valid message."""
 
     @FUZZ
     @given(strategies.lists(strategies.binary(max_size=200), max_size=5))
@@ -80,8 +83,8 @@
     @FUZZ
     @given(strategies.binary(max_size=200))
     def test_sealed_garbage(self, content):
-        # A VM of another version, or one gone wrong, holds the secret: its
-        # seal fits, what is inside does not decode.
+        # A VM of another version, or a faulty one, has the secret: its
+        # signature is valid, but the payload does not decode.
         payload = Seal(secret=SECRET).close(content)
         handled, _ = run_virtual(receive_all([payload]))
         self.assertEqual([7], handled)
--- a/tests/fuzzing/test_platform_messages.py
+++ b/tests/fuzzing/test_platform_messages.py
@@ -1,4 +1,4 @@
-"""Throw bytes at the platform's decoders: a refusal, and nothing half done."""
+"""Fuzzes the platform adapter's decoders: input is valid or rejected."""
 
 import json
 import pathlib
@@ -42,7 +42,7 @@
 
 @strategies.composite
 def changed(draw, message):
-    """Draw a message with fields missing, of another type, or cut."""
+    """Draw a message with missing or mistyped fields, or truncated."""
     fields = dict(message)
     for name in draw(strategies.lists(strategies.sampled_from(list(message)))):
         if draw(strategies.booleans()):
@@ -56,7 +56,7 @@
 
 
 class CheckInFuzzTest(unittest.TestCase):
-    """Check-ins of other writers."""
+    """Check-ins that endpoints write."""
 
     @settings(max_examples=400, deadline=None)
     @given(strategies.text(max_size=12), changed(SAID))
@@ -94,7 +94,7 @@
         except CheckInError:
             self.assertEqual(before, book.changes_after(0, HERE))
 
-    def test_classes_of_what_names_no_endpoint(self):
+    def test_invalid_check_ins_are_rejected(self):
         for change in (
             {"state": "resting"},
             {"state": 1},
@@ -124,7 +124,7 @@
 
 
 class DocumentFuzzTest(unittest.TestCase):
-    """Documents of operators."""
+    """Documents that operators write."""
 
     @settings(max_examples=200, deadline=None)
     @given(changed(DOCUMENT))
--- a/tests/fuzzing/test_resources.py
+++ b/tests/fuzzing/test_resources.py
@@ -1,4 +1,4 @@
-"""Resources that an operator may send."""
+"""Fuzzes the resources that operators send."""
 
 import unittest
 
@@ -39,7 +39,7 @@
 
 
 class ResourceTest(unittest.TestCase):
-    """A spec is read whole or refused with a sentence."""
+    """A spec is parsed completely or rejected with a message."""
 
     @FUZZ
     @given(
