--- a/burdockdrum/passthrough/model.py
+++ b/burdockdrum/passthrough/model.py
@@ -8,7 +8,7 @@
 from burdockdrum.http1 import ResponseHead
 from burdockdrum.passthrough.endpoint_state import RatedEndpoint
 from burdockdrum.passthrough.prompts import Prompt
-from burdockdrum.quotas import Taken
+from burdockdrum.quotas import Charge
 from burdockdrum.resources import Backend
 from burdockdrum.resources import Route
 from burdockdrum.verdicts import Verdict
@@ -37,7 +37,7 @@
     forwarded_from: str | None = None
     revision: int = 0
     team: str | None = None
-    quota_charge: Taken | None = None
+    quota_charge: Charge | None = None
 
     @property
     def is_retryable(self) -> bool:
--- a/burdockdrum/passthrough/relay.py
+++ b/burdockdrum/passthrough/relay.py
@@ -129,7 +129,7 @@
             await self._run(request, progress, exchange)
         except Refusal as refusal:
             if request.quota_charge is not None and not progress.runs:
-                self._meter.give_back(request.quota_charge)
+                self._meter.refund(request.quota_charge)
             self._refuse(
                 exchange, refusal, request, is_hop=is_hop, runs=progress.runs
             )
--- a/burdockdrum/passthrough/request_reader.py
+++ b/burdockdrum/passthrough/request_reader.py
@@ -21,8 +21,8 @@
 from burdockdrum.passthrough.route_index import choose_service
 from burdockdrum.passthrough.route_index import RouteIndex
 from burdockdrum.ports import Clock
+from burdockdrum.quotas import Charge
 from burdockdrum.quotas import QuotaMeter
-from burdockdrum.quotas import Taken
 from burdockdrum.resources import Route
 from burdockdrum.verdicts import Refusal
 from burdockdrum.verdicts import RefusalCode
@@ -106,10 +106,10 @@
             head.find(names.prompt_parts),
             head.find(names.length_hint),
         )
-        quota_charge: Taken | None = None
+        quota_charge: Charge | None = None
         if caller is not None and not is_hop:
             tokens = prompt.tokens + prompt.max_output_tokens
-            quota_charge = self._meter.take(caller, tokens)
+            quota_charge = self._meter.acquire(caller, tokens)
         return ProxiedRequest(
             request_id=(given_id or secrets.token_hex(8).encode()).decode(
                 "latin-1"
--- a/burdockdrum/quotas/__init__.py
+++ b/burdockdrum/quotas/__init__.py
@@ -1,8 +1,8 @@
 """Rate limits of teams, enforced over the entries of all regions."""
 
+from burdockdrum.quotas.meter import Charge
 from burdockdrum.quotas.meter import QuotaMeter
-from burdockdrum.quotas.meter import Taken
 from burdockdrum.quotas.services import add_services
-from burdockdrum.quotas.sharing import UseSharing
+from burdockdrum.quotas.sharing import UsageSharing
 
-__all__ = ["add_services", "QuotaMeter", "Taken", "UseSharing"]
+__all__ = ["add_services", "Charge", "QuotaMeter", "UsageSharing"]
--- a/burdockdrum/quotas/messages.py
+++ b/burdockdrum/quotas/messages.py
@@ -7,7 +7,7 @@
 from burdockdrum.peers import Message
 
 
-class TeamUse(msgspec.Struct, frozen=True, array_like=True):
+class TeamUsage(msgspec.Struct, frozen=True, array_like=True):
     """A team's usage and demand per second, in the unit of its limit.
 
     An aggregator also reports ``burst_used``, the used amount of the team's
@@ -22,10 +22,12 @@
     reserved: float = 0.0
 
 
-class UseNotice(Message, frozen=True, kw_only=True, array_like=True):
+class UsageReport(Message, frozen=True, kw_only=True, array_like=True):
     """An entry's own usage, sent to the aggregator of its data centre."""
 
-    uses: list[TeamUse]
+    wire_kind: ClassVar[str | None] = "quotas.UseNotice"
+
+    uses: list[TeamUsage]
 
 
 class OthersUsage(Message, frozen=True, kw_only=True, array_like=True):
@@ -33,18 +35,20 @@
 
     wire_kind: ClassVar[str | None] = "quotas.OthersUse"
 
-    uses: list[TeamUse]
+    uses: list[TeamUsage]
 
 
-class DataCentreUse(Message, frozen=True, kw_only=True, array_like=True):
+class DataCentreUsage(Message, frozen=True, kw_only=True, array_like=True):
     """The usage of a data centre, sent to the aggregators of the others.
 
-    ``keeper`` is the address of the data centre's aggregator. ``forwarded``
-    is set by an entry that forwards the message to the aggregator of its
-    own data centre, so that it is forwarded at most once.
+    ``aggregator`` is the address of the data centre's aggregator.
+    ``forwarded`` is set by an entry that forwards the message to the
+    aggregator of its own data centre, so that it is forwarded at most once.
     """
 
+    wire_kind: ClassVar[str | None] = "quotas.DataCentreUse"
+
     data_centre: str
-    keeper: str
-    uses: list[TeamUse]
+    aggregator: str
+    uses: list[TeamUsage]
     forwarded: bool = False
--- a/burdockdrum/quotas/meter.py
+++ b/burdockdrum/quotas/meter.py
@@ -20,7 +20,7 @@
 from burdockdrum.quotas.limits import update_burst_used
 from burdockdrum.quotas.limits import UsageEstimate
 from burdockdrum.quotas.limits import USED_DECAY_SECONDS
-from burdockdrum.quotas.sharing import UseSharing
+from burdockdrum.quotas.sharing import UsageSharing
 from burdockdrum.quotas.sums import Usage
 from burdockdrum.resources import RateLimit
 from burdockdrum.verdicts import Refusal
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Taken:
+class Charge:
     """A request's charge to its team's limit, in the limit's unit."""
 
     team: str
@@ -67,7 +67,7 @@
         clock: Clock,
         rng: random.Random,
         callers: CallerFinder,
-        sharing: UseSharing,
+        sharing: UsageSharing,
         metrics: Metrics,
     ) -> None:
         """Create a meter without usage."""
@@ -76,7 +76,7 @@
         self._callers = callers
         self._sharing = sharing
         self._counter_by_team: dict[str, _TeamCounter] = {}
-        sharing.read_own = self.read_own
+        sharing.local_usage = self.local_usage
         sharing.read_burst_used = self._read_burst_used
         sharing.set_burst_used = self._set_burst_used
         sharing.is_any_near_limit = self._is_any_near_limit
@@ -89,7 +89,7 @@
             "Requests that were refused by the limits of teams.",
         )
 
-    def take(self, caller: Caller, tokens: int) -> Taken | None:
+    def acquire(self, caller: Caller, tokens: int) -> Charge | None:
         """Charge a request to the limit of its team, or refuse it.
 
         :param tokens: the request's tokens of input and output, 0 if unknown
@@ -111,16 +111,16 @@
             raise self._make_refusal(team, limit, estimate)
         counter.used.add(cost, now)
         self._used_total.increment(cost, team=team)
-        return Taken(team=team, cost=cost)
+        return Charge(team=team, cost=cost)
 
-    def give_back(self, taken: Taken) -> None:
+    def refund(self, charge: Charge) -> None:
         """Refund the charge of a request that has not run."""
-        counter = self._counter_by_team.get(taken.team)
+        counter = self._counter_by_team.get(charge.team)
         if counter is not None:
-            counter.used.add(-taken.cost, self._clock.monotonic())
-            self._used_total.increment(-taken.cost, team=taken.team)
+            counter.used.add(-charge.cost, self._clock.monotonic())
+            self._used_total.increment(-charge.cost, team=charge.team)
 
-    def read_own(self) -> Mapping[str, Usage]:
+    def local_usage(self) -> Mapping[str, Usage]:
         """Return the local usage of each team that has a limit."""
         now = self._clock.monotonic()
         usage_by_team = {}
--- a/burdockdrum/quotas/services.py
+++ b/burdockdrum/quotas/services.py
@@ -9,7 +9,7 @@
 from burdockdrum.peers import VmIdentity
 from burdockdrum.ports import Clock
 from burdockdrum.quotas.meter import QuotaMeter
-from burdockdrum.quotas.sharing import UseSharing
+from burdockdrum.quotas.sharing import UsageSharing
 from burdockdrum.settings import Settings
 from burdockdrum.vms import VmDirectory
 
@@ -22,7 +22,7 @@
     kernel.add("quota_meter", _build_meter)
 
 
-def _build_sharing(kernel: Kernel) -> UseSharing:
+def _build_sharing(kernel: Kernel) -> UsageSharing:
     directory = kernel.find("vms", VmDirectory)
     own = kernel.find("identity", VmIdentity)
     settings = kernel.find("settings", Settings)
@@ -36,7 +36,7 @@
             and not view.draining
         ]
 
-    return UseSharing(
+    return UsageSharing(
         peers=kernel.find("peers", Peers),
         clock=kernel.find("clock", Clock),
         read_entries=read_entries,
@@ -50,6 +50,6 @@
         clock=kernel.find("clock", Clock),
         rng=kernel.find("random", random.Random),
         callers=kernel.find("callers", CallerFinder),
-        sharing=kernel.find("use_sharing", UseSharing),
+        sharing=kernel.find("use_sharing", UsageSharing),
         metrics=kernel.find("metrics", Metrics),
     )
--- a/burdockdrum/quotas/sharing.py
+++ b/burdockdrum/quotas/sharing.py
@@ -17,10 +17,10 @@
 from burdockdrum.peers import Sender
 from burdockdrum.peers import VmIdentity
 from burdockdrum.ports import Clock
-from burdockdrum.quotas.messages import DataCentreUse
+from burdockdrum.quotas.messages import DataCentreUsage
 from burdockdrum.quotas.messages import OthersUsage
-from burdockdrum.quotas.messages import TeamUse
-from burdockdrum.quotas.messages import UseNotice
+from burdockdrum.quotas.messages import TeamUsage
+from burdockdrum.quotas.messages import UsageReport
 from burdockdrum.quotas.reservations import ReservedFractions
 from burdockdrum.quotas.reservations import UNREACHABLE_TIMEOUT_SECONDS
 from burdockdrum.quotas.sums import merge
@@ -45,7 +45,7 @@
 _AGGREGATOR = "aggregator"
 
 
-class UseSharing:
+class UsageSharing:
     """Exchanges usage with other entries, and totals what they report."""
 
     def __init__(
@@ -64,7 +64,7 @@
         :param data_centres: the data centres that may have entries
         """
         # Callbacks, set by the meter.
-        self.read_own: Callable[[], Mapping[str, Usage]] = dict
+        self.local_usage: Callable[[], Mapping[str, Usage]] = dict
         # The used amount of a team's burst.
         self.read_burst_used: Callable[[str], float] = _no_burst_used
         self.set_burst_used: Callable[[str, float], None] = _discard_burst_used
@@ -96,11 +96,11 @@
         self._reserved_by_team: dict[str, float] = {}
         self._others: dict[str, Usage] = {}
         self._others_at = float("-inf")
-        self._totals: list[TeamUse] = []
+        self._totals: list[TeamUsage] = []
         self._totals_at = float("-inf")
-        peers.register(UseNotice, self._take_notice)
+        peers.register(UsageReport, self._receive_report)
         peers.register(OthersUsage, self._receive_reply)
-        peers.register(DataCentreUse, self._receive_data_centre)
+        peers.register(DataCentreUsage, self._receive_data_centre)
 
     @property
     def is_aggregator(self) -> bool:
@@ -134,7 +134,7 @@
 
     def _exchange(self) -> float:
         """Send a report; return the seconds until the next one."""
-        own = self.read_own()
+        own = self.local_usage()
         if not own:
             # No team has a limit.
             return REPORT_INTERVAL_SECONDS
@@ -156,8 +156,8 @@
                 self._broadcast(others, now)
                 self._broadcast_at = now
             return BROADCAST_INTERVAL_SECONDS
-        notice = UseNotice(uses=_to_wire(own))
-        self._peers.send(self._aggregator.control_address, notice)
+        report = UsageReport(uses=_to_wire(own))
+        self._peers.send(self._aggregator.control_address, report)
         self._aggregator_choice.note_asked(self._aggregator.vm_id, now)
         return max(
             REPORT_INTERVAL_SECONDS,
@@ -190,9 +190,9 @@
         return entry.data_centre == self._own.data_centre
 
     def _broadcast(self, others: list[VmIdentity], now: float) -> None:
-        message = DataCentreUse(
+        message = DataCentreUsage(
             data_centre=self._own.data_centre,
-            keeper=self._own.control_address,
+            aggregator=self._own.control_address,
             uses=_to_wire(self._total_here(now)),
         )
         for address in self._remote_aggregators.find_all(others, now).values():
@@ -201,7 +201,7 @@
     def _total_here(self, now: float) -> dict[str, Usage]:
         """Return the usage in this data centre, by team."""
         totals = self._here.total(now)
-        merge(totals, self.read_own())
+        merge(totals, self.local_usage())
         return totals
 
     def _total_others(self) -> dict[str, Usage]:
@@ -218,8 +218,8 @@
         self._others_at = now
         return self._others
 
-    async def _take_notice(
-        self, sender: Sender, message: UseNotice
+    async def _receive_report(
+        self, sender: Sender, message: UsageReport
     ) -> Message | None:
         now = self._clock.monotonic()
         self._here.record(sender.vm_id, message.uses, now)
@@ -237,14 +237,14 @@
             ]
         )
 
-    def _list_totals(self, now: float) -> list[TeamUse]:
+    def _list_totals(self, now: float) -> list[TeamUsage]:
         """Return the usage of all entries, for replies."""
         if now - self._totals_at <= TOTALS_CACHE_SECONDS:
             return self._totals
         totals = dict(self._total_others())
-        merge(totals, self.read_own())
+        merge(totals, self.local_usage())
         self._totals = [
-            TeamUse(
+            TeamUsage(
                 team,
                 round(usage.used, 1),
                 round(usage.requested, 1),
@@ -270,7 +270,7 @@
         }
         for usage in message.uses:
             self.set_burst_used(usage.team, usage.burst_used)
-        own = self.read_own()
+        own = self.local_usage()
         fractions = {
             usage.team: _fraction(
                 usage.requested, own.get(usage.team, NO_USAGE).requested
@@ -286,7 +286,7 @@
         return None
 
     async def _receive_data_centre(
-        self, sender: Sender, message: DataCentreUse
+        self, sender: Sender, message: DataCentreUsage
     ) -> Message | None:
         if not self.is_aggregator:
             if not message.forwarded:
@@ -295,9 +295,9 @@
             return None
         now = self._clock.monotonic()
         name = message.data_centre
-        self._remote_aggregators.note(name, message.keeper, now)
-        self._elsewhere.record(message.keeper, message.uses, now)
-        own_usage, others = self.read_own(), self._total_others()
+        self._remote_aggregators.note(name, message.aggregator, now)
+        self._elsewhere.record(message.aggregator, message.uses, now)
+        own_usage, others = self.local_usage(), self._total_others()
         fractions = {}
         for usage in message.uses:
             total = others.get(usage.team, NO_USAGE).requested
@@ -312,9 +312,9 @@
         return None
 
 
-def _subtract(usage: TeamUse, part: Usage) -> TeamUse:
+def _subtract(usage: TeamUsage, part: Usage) -> TeamUsage:
     """Return a team's usage without that of one entry."""
-    return TeamUse(
+    return TeamUsage(
         usage.team,
         max(0.0, usage.used - part.used),
         max(0.0, usage.requested - part.requested),
@@ -335,10 +335,10 @@
     """Discard the aggregator's value, as there is no meter."""
 
 
-def _to_wire(usage_by_team: Mapping[str, Usage]) -> list[TeamUse]:
+def _to_wire(usage_by_team: Mapping[str, Usage]) -> list[TeamUsage]:
     """Return usage as messages carry it, without idle teams."""
     usages = [
-        TeamUse(team, round(usage.used, 1), round(usage.requested, 1))
+        TeamUsage(team, round(usage.used, 1), round(usage.requested, 1))
         for team, usage in usage_by_team.items()
     ]
     return [usage for usage in usages if usage.requested or usage.used]
--- a/burdockdrum/quotas/sums.py
+++ b/burdockdrum/quotas/sums.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from burdockdrum.quotas.decaying import decay
-from burdockdrum.quotas.messages import TeamUse
+from burdockdrum.quotas.messages import TeamUsage
 
 # How long a report counts in full, and the time constant of its decay after.
 REPORT_VALID_SECONDS = 1.0
@@ -61,7 +61,7 @@
         self._report_by_source: dict[str, _SourceReport] = {}
 
     def record(
-        self, source: str, usages: Iterable[TeamUse], now: float
+        self, source: str, usages: Iterable[TeamUsage], now: float
     ) -> None:
         """Replace the report of a source."""
         self._report_by_source[source] = _SourceReport(
--- a/scripts/bench/team_limits.py
+++ b/scripts/bench/team_limits.py
@@ -30,11 +30,11 @@
 from burdockdrum.peers import Seal
 from burdockdrum.peers import Sender
 from burdockdrum.peers import VmIdentity
-from burdockdrum.quotas.messages import DataCentreUse
-from burdockdrum.quotas.messages import TeamUse
-from burdockdrum.quotas.messages import UseNotice
+from burdockdrum.quotas.messages import DataCentreUsage
+from burdockdrum.quotas.messages import TeamUsage
+from burdockdrum.quotas.messages import UsageReport
 from burdockdrum.quotas.meter import QuotaMeter
-from burdockdrum.quotas.sharing import UseSharing
+from burdockdrum.quotas.sharing import UsageSharing
 from burdockdrum.resources import Backend
 from burdockdrum.resources import Configuration
 from burdockdrum.resources import hash_token
@@ -122,7 +122,7 @@
             seal=Seal(secret=b"s"),
             metrics=Metrics(),
         )
-        self.sharing = UseSharing(
+        self.sharing = UsageSharing(
             peers=peers, clock=self.clock, read_entries=list
         )
         self.meter = QuotaMeter(
@@ -149,12 +149,12 @@
         callers = [self.finder.find(token) for token in self._draw(requests)]
         began = time.process_time()
         for caller in callers:
-            self.meter.take(caller, 100)
+            self.meter.acquire(caller, 100)
         return (time.process_time() - began) / requests
 
     async def answer(self, entries: int) -> float:
         """Return the seconds that a keeper's answer to one entry takes."""
-        notice = UseNotice(uses=self._uses())
+        report = UsageReport(uses=self._uses())
         began = time.process_time()
         for number in range(ANSWERS):
             sender = Sender(
@@ -162,13 +162,13 @@
                 address="tcp://other:1",
                 incarnation=1,
             )
-            await self.sharing._take_notice(sender, notice)
+            await self.sharing._receive_report(sender, report)
         return (time.process_time() - began) / ANSWERS
 
     def message_bytes(self) -> int:
         """Return the size of what a keeper tells another."""
-        message = DataCentreUse(
-            data_centre="d", keeper="tcp://vm:1", uses=self._uses()
+        message = DataCentreUsage(
+            data_centre="d", aggregator="tcp://vm:1", uses=self._uses()
         )
         return len(msgspec.msgpack.encode(message))
 
@@ -178,9 +178,9 @@
             for _ in range(requests)
         ]
 
-    def _uses(self) -> list[TeamUse]:
+    def _uses(self) -> list[TeamUsage]:
         return [
-            TeamUse(f"team-{number}", 12_345.6, 23_456.7)
+            TeamUsage(f"team-{number}", 12_345.6, 23_456.7)
             for number in range(self.teams)
         ]
 
--- a/tests/passthrough/test_callers.py
+++ b/tests/passthrough/test_callers.py
@@ -137,4 +137,4 @@
         entry = await self.open(teams=[make_team("blue", "t1", limit=limit)])
         statuses = {(await entry.call(TOKEN))[0] for _ in range(3)}
         self.assertEqual({503}, statuses)
-        self.assertEqual(0.0, entry.meter.read_own()["blue"].used)
+        self.assertEqual(0.0, entry.meter.local_usage()["blue"].used)
--- a/tests/quotas/test_meter.py
+++ b/tests/quotas/test_meter.py
@@ -38,7 +38,7 @@
 
     def charge_request(self, tokens):
         """Charge a request to the team."""
-        return self.meter.take(self.finder.find("k"), tokens)
+        return self.meter.acquire(self.finder.find("k"), tokens)
 
     def count_admitted(self, tokens, number):
         """Return how many of equal simultaneous requests are admitted."""
@@ -63,7 +63,7 @@
     def test_team_without_limit_is_not_metered(self):
         self.configuration.bring(teams=[make_team("t", "k")])
         self.assertIsNone(self.charge_request(10**9))
-        self.assertEqual({}, self.meter.read_own())
+        self.assertEqual({}, self.meter.local_usage())
 
     def test_usage_at_other_entries_counts(self):
         """Each entry admits the whole limit."""
@@ -88,20 +88,20 @@
         self.charge_request(900)
         self.set_limit(100.0, unit="requests")
         self.charge_request(900)
-        used = self.meter.read_own()["t"].used
+        used = self.meter.local_usage()["t"].used
         self.assertAlmostEqual(1.0, used * USED_DECAY_SECONDS)
 
     def test_charge_of_a_request_that_has_not_run_is_refunded(self):
         charge = self.charge_request(500)
-        self.meter.give_back(charge)
-        own = self.meter.read_own()["t"]
+        self.meter.refund(charge)
+        own = self.meter.local_usage()["t"]
         self.assertEqual(0.0, own.used)
         self.assertAlmostEqual(500.0, own.requested * REQUESTED_DECAY_SECONDS)
 
     def test_removed_team_is_not_reported(self):
         self.charge_request(500)
         self.configuration.bring(teams=[])
-        self.assertEqual({}, self.meter.read_own())
+        self.assertEqual({}, self.meter.local_usage())
 
     def test_refusal_states_limit_and_estimate(self):
         self.sharing.usage_by_team["t"] = Usage(
--- a/tests/quotas/test_sharing.py
+++ b/tests/quotas/test_sharing.py
@@ -13,7 +13,7 @@
 from burdockdrum.peers import Seal
 from burdockdrum.peers import VmIdentity
 from burdockdrum.quotas import QuotaMeter
-from burdockdrum.quotas.sharing import UseSharing
+from burdockdrum.quotas.sharing import UsageSharing
 from burdockdrum.quotas.sums import NO_USAGE
 from burdockdrum.resources import RateLimit
 from burdockdrum.testing import FakeNetwork
@@ -66,7 +66,7 @@
             seal=Seal(secret=b"s"),
             metrics=Metrics(),
         )
-        self.sharing = UseSharing(
+        self.sharing = UsageSharing(
             peers=peers,
             clock=world.clock,
             read_entries=lambda: world.visible_entries(self),
@@ -100,7 +100,7 @@
         """Admit one request, or refuse it."""
         self.world.sent += 1
         try:
-            self.meter.take(self.finder.find("k"), COST)
+            self.meter.acquire(self.finder.find("k"), COST)
         except Refusal:
             self.world.refused += 1
             return
@@ -338,7 +338,7 @@
         await world.generate(9, dict.fromkeys("abc", 6 * third))
 
     def test_usage_counted_per_entry_is_detected(self):
-        with mock.patch.object(UseSharing, "others", return_value=NO_USAGE):
+        with mock.patch.object(UsageSharing, "others", return_value=NO_USAGE):
             self.assertNotEqual([], self.run_scenario(self.generate_overload))
 
     def test_whole_limit_on_both_sides_of_a_partition_is_detected(self):
@@ -349,7 +349,7 @@
             await self.generate_overload(world)
 
         with mock.patch.object(
-            UseSharing, "reserved_fraction", return_value=0.0
+            UsageSharing, "reserved_fraction", return_value=0.0
         ):
             self.assertNotEqual([], self.run_scenario(scenario))
 
