--- a/burdockdrum/callers/__init__.py
+++ b/burdockdrum/callers/__init__.py
@@ -7,9 +7,9 @@
 from burdockdrum.callers.caller import Caller
 from burdockdrum.callers.caller import callers_by_token_hash
 from burdockdrum.callers.finding import CallerFinder
-from burdockdrum.callers.finding import refuse_unsure
+from burdockdrum.callers.finding import stale_configuration_refusal
 from burdockdrum.callers.ranks import RankOrder
-from burdockdrum.callers.routes import NoCommonHome
+from burdockdrum.callers.routes import NoCommonHomeRegion
 from burdockdrum.callers.routes import route_for
 from burdockdrum.callers.services import add_services
 
@@ -18,8 +18,8 @@
     "Caller",
     "CallerFinder",
     "callers_by_token_hash",
-    "NoCommonHome",
+    "NoCommonHomeRegion",
     "RankOrder",
-    "refuse_unsure",
     "route_for",
+    "stale_configuration_refusal",
 ]
--- a/burdockdrum/callers/finding.py
+++ b/burdockdrum/callers/finding.py
@@ -59,8 +59,10 @@
             if caller is not None:
                 return caller
         reason = "unknown token" if token else "missing token"
-        if not self.is_certain:
-            raise refuse_unsure(f"{reason}; the configuration may be stale")
+        if not self.has_fresh_configuration:
+            raise stale_configuration_refusal(
+                f"{reason}; the configuration may be stale"
+            )
         raise Refusal(
             code=RefusalCode.UNAUTHENTICATED,
             message=reason,
@@ -75,7 +77,7 @@
         self._refresh_index()
         caller = self._by_team.get(name)
         if caller is None:
-            raise refuse_unsure(
+            raise stale_configuration_refusal(
                 f"unknown team {name!r}; the configuration may be stale"
             )
         return caller
@@ -87,13 +89,13 @@
         return self._by_team
 
     @property
-    def is_certain(self) -> bool:
+    def has_fresh_configuration(self) -> bool:
         """Return whether the configuration is fresh enough to reject."""
         return self._is_fresh(self._certain_seconds)
 
     def _check_age(self) -> None:
         if not self._is_fresh(self._strict_seconds):
-            raise refuse_unsure(
+            raise stale_configuration_refusal(
                 "the configuration is too old to accept tokens, which may "
                 "have been revoked since"
             )
@@ -115,7 +117,7 @@
         self._indexed = current
 
 
-def refuse_unsure(message: str) -> Refusal:
+def stale_configuration_refusal(message: str) -> Refusal:
     """Return a retryable refusal due to a possibly stale configuration."""
     return Refusal(
         code=RefusalCode.CONFIGURATION_STALE,
--- a/burdockdrum/callers/routes.py
+++ b/burdockdrum/callers/routes.py
@@ -11,7 +11,7 @@
 from burdockdrum.resources import Route
 
 
-class NoCommonHome(Exception):
+class NoCommonHomeRegion(Exception):
     """The home regions of a route and of a team don't intersect."""
 
 
@@ -19,7 +19,7 @@
     """Return a route with the rank and the home regions for a caller.
 
     :param caller: None for a route that needs no authentication
-    :raises NoCommonHome: if no region may serve the request
+    :raises NoCommonHomeRegion: if no region may serve the request
     """
     rank = ranks.find(caller.rank if caller else None, route.rank)
     homes = _intersect_regions(
@@ -37,7 +37,7 @@
         return route_homes or team_homes
     common = [home for home in route_homes if home in team_homes]
     if not common:
-        raise NoCommonHome(
+        raise NoCommonHomeRegion(
             f"the route is kept to {', '.join(route_homes)}, the team to "
             f"{', '.join(team_homes)}"
         )
--- a/burdockdrum/passthrough/request_reader.py
+++ b/burdockdrum/passthrough/request_reader.py
@@ -6,10 +6,10 @@
 
 from burdockdrum.callers import Caller
 from burdockdrum.callers import CallerFinder
-from burdockdrum.callers import NoCommonHome
+from burdockdrum.callers import NoCommonHomeRegion
 from burdockdrum.callers import RankOrder
-from burdockdrum.callers import refuse_unsure
 from burdockdrum.callers import route_for
+from burdockdrum.callers import stale_configuration_refusal
 from burdockdrum.http1 import parse_count
 from burdockdrum.http1 import RequestHead
 from burdockdrum.passthrough.header_names import HeaderNames
@@ -80,7 +80,9 @@
         """
         index = self._read_index()
         if index is None:
-            raise refuse_unsure("this VM has not loaded its routes yet")
+            raise stale_configuration_refusal(
+                "this VM has not loaded its routes yet"
+            )
         route = index.find(head.host, head.path.decode("latin-1"))
         if route is None:
             raise self._refuse_unknown(head, index.generation)
@@ -148,8 +150,8 @@
         return self._callers.find(tokens[0] if len(tokens) == 1 else None)
 
     def _refuse_unknown(self, head: RequestHead, generation: int) -> Refusal:
-        if not self._callers.is_certain:
-            return refuse_unsure(
+        if not self._callers.has_fresh_configuration:
+            return stale_configuration_refusal(
                 f"no route matches in route table {generation}, which may "
                 "be out of date"
             )
@@ -164,7 +166,7 @@
 def _route_for(caller: Caller | None, route: Route, ranks: RankOrder) -> Route:
     try:
         return route_for(caller, route, ranks)
-    except NoCommonHome as error:
+    except NoCommonHomeRegion as error:
         raise Refusal(
             code=RefusalCode.RESIDENCY,
             message=str(error),
--- a/tests/callers/fakes.py
+++ b/tests/callers/fakes.py
@@ -23,9 +23,9 @@
     def __init__(self, *, teams=None, routes=(), age=0.1):
         """Create a service with one route table."""
         self.age = age
-        self.bring(teams=teams, routes=routes)
+        self.apply(teams=teams, routes=routes)
 
-    def bring(self, *, teams=None, routes=(), generation=1):
+    def apply(self, *, teams=None, routes=(), generation=1):
         """Replace the current route table."""
         table = RouteTableSpec(
             generation=generation,
--- a/tests/callers/test_finding.py
+++ b/tests/callers/test_finding.py
@@ -78,7 +78,7 @@
             self.assertIs(RefusalCode.CONFIGURATION_STALE, code)
 
     def test_new_configuration_replaces_tokens(self):
-        self.configuration.bring(
+        self.configuration.apply(
             teams=[make_team("a", "a2"), make_team("b", "a1")], generation=2
         )
         self.assertEqual("b", self.finder.find("a1").team)
--- a/tests/callers/test_routes.py
+++ b/tests/callers/test_routes.py
@@ -3,7 +3,7 @@
 import unittest
 
 from burdockdrum.callers import Caller
-from burdockdrum.callers import NoCommonHome
+from burdockdrum.callers import NoCommonHomeRegion
 from burdockdrum.callers import RankOrder
 from burdockdrum.callers import route_for
 from tests.callers.fakes import make_team
@@ -63,6 +63,6 @@
             self.assertEqual(expected, bound.homes)
 
     def test_disjoint_homes_are_rejected(self):
-        with self.assertRaises(NoCommonHome):
+        with self.assertRaises(NoCommonHomeRegion):
             caller = Caller(homes=("n",))
             route_for(caller, make_route(homes=["s"]), RANKS)
--- a/tests/passthrough/test_callers.py
+++ b/tests/passthrough/test_callers.py
@@ -80,7 +80,7 @@
         self.addCleanup(writer.close)
         statuses = []
         for teams in ([make_team("blue", "t1")], [make_team("blue")]):
-            self.world.configuration.bring(
+            self.world.configuration.apply(
                 teams=teams, routes=[self.world.route]
             )
             writer.write(b"GET /p/x HTTP/1.1\r\nHost: h\r\n" + TOKEN)
--- a/tests/quotas/test_meter.py
+++ b/tests/quotas/test_meter.py
@@ -34,7 +34,7 @@
         limit = RateLimit(
             unit=unit, per_second=per_second, burst=per_second, plain_tokens=7
         )
-        self.configuration.bring(teams=[make_team("t", "k", limit=limit)])
+        self.configuration.apply(teams=[make_team("t", "k", limit=limit)])
 
     def charge_request(self, tokens):
         """Charge a request to the team."""
@@ -61,7 +61,7 @@
         self.assertEqual(1.0, cost_of(requests, 90))
 
     def test_team_without_limit_is_not_metered(self):
-        self.configuration.bring(teams=[make_team("t", "k")])
+        self.configuration.apply(teams=[make_team("t", "k")])
         self.assertIsNone(self.charge_request(10**9))
         self.assertEqual({}, self.meter.local_usage())
 
@@ -100,7 +100,7 @@
 
     def test_removed_team_is_not_reported(self):
         self.charge_request(500)
-        self.configuration.bring(teams=[])
+        self.configuration.apply(teams=[])
         self.assertEqual({}, self.meter.local_usage())
 
     def test_refusal_states_limit_and_estimate(self):
--- a/tests/quotas/test_sharing.py
+++ b/tests/quotas/test_sharing.py
@@ -193,7 +193,7 @@
     def set_limit(self, limit, enforced_after):
         """Apply a limit, and record when it takes effect."""
         team = make_team("t", "k", limit=limit)
-        self.configuration.bring(teams=[team], generation=2)
+        self.configuration.apply(teams=[team], generation=2)
         at = self.clock.monotonic() + enforced_after
         self.limits.append(LimitInForce(time=at, team="t", limit=limit))
 
