--- a/burdockdrum/admission/__init__.py
+++ b/burdockdrum/admission/__init__.py
@@ -1,6 +1,6 @@
 """Admission control: quotas, priorities, queues and deadlines."""
 
-from burdockdrum.admission.admission import Admission
+from burdockdrum.admission.admission import AdmissionControl
 from burdockdrum.admission.admission import Permit
 from burdockdrum.admission.quotas import QuotaEnforcer
 from burdockdrum.admission.quotas import QuotaReservation
@@ -8,7 +8,7 @@
 
 __all__ = [
     "add_services",
-    "Admission",
+    "AdmissionControl",
     "Permit",
     "QuotaReservation",
     "QuotaEnforcer",
--- a/burdockdrum/admission/admission.py
+++ b/burdockdrum/admission/admission.py
@@ -41,7 +41,7 @@
     def __init__(
         self,
         *,
-        admission: "Admission",
+        admission: "AdmissionControl",
         reservation: QuotaReservation | None = None,
     ) -> None:
         """Create a permit."""
@@ -54,7 +54,7 @@
         if self._released:
             return
         self._released = True
-        self._admission.give_back(self._reservation, tokens)
+        self._admission.release(self._reservation, tokens)
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -69,7 +69,7 @@
         return (self.mean_seconds + ahead) / self.capacity
 
 
-class Admission:
+class AdmissionControl:
     """Decides which requests may start, and in which order.
 
     Requests wait here rather than in the queues of the endpoints, so that
@@ -129,7 +129,7 @@
         """
         await self._wait_for_capacity(self._team_of(client_id), request)
 
-    def give_back(
+    def release(
         self, reservation: QuotaReservation | None, tokens: int
     ) -> None:
         """Release the quota that a permit holds."""
--- a/burdockdrum/admission/services.py
+++ b/burdockdrum/admission/services.py
@@ -2,7 +2,7 @@
 
 import random
 
-from burdockdrum.admission.admission import Admission
+from burdockdrum.admission.admission import AdmissionControl
 from burdockdrum.admission.quotas import QuotaEnforcer
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.kernel import Kernel
@@ -30,9 +30,9 @@
     )
 
 
-def _build_admission(kernel: Kernel) -> Admission:
+def _build_admission(kernel: Kernel) -> AdmissionControl:
     router = kernel.find("router", Router)
-    admission = Admission(
+    admission = AdmissionControl(
         clock=kernel.find("clock", Clock),
         configuration=kernel.find("configuration", ConfigurationService),
         router=router,
--- a/burdockdrum/requests/exchange.py
+++ b/burdockdrum/requests/exchange.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from burdockdrum.admission import Admission
+from burdockdrum.admission import AdmissionControl
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.endpoints import Endpoint
 from burdockdrum.peers import VmIdentity
@@ -54,7 +54,7 @@
     clock: Clock
     timeline: Timeline
     configuration: ConfigurationService
-    admission: Admission
+    admission: AdmissionControl
     router: Router
     opener: UpstreamOpener
     budget: RetryBudget
--- a/burdockdrum/requests/services.py
+++ b/burdockdrum/requests/services.py
@@ -1,6 +1,6 @@
 """Registration of this package's services in the kernel."""
 
-from burdockdrum.admission import Admission
+from burdockdrum.admission import AdmissionControl
 from burdockdrum.claims import Claims
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.kernel import Kernel
@@ -45,7 +45,7 @@
         clock=clock,
         timeline=kernel.find("timeline", Timeline),
         configuration=kernel.find("configuration", ConfigurationService),
-        admission=kernel.find("admission", Admission),
+        admission=kernel.find("admission", AdmissionControl),
         router=kernel.find("router", Router),
         opener=opener,
         budget=RetryBudget(),
--- a/scripts/experiment/policies.py
+++ b/scripts/experiment/policies.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from burdockdrum.admission import Admission
+from burdockdrum.admission import AdmissionControl
 from burdockdrum.admission import Permit
 from burdockdrum.endpoints import Endpoint
 from burdockdrum.routing import Choice
@@ -33,7 +33,7 @@
         self.running += 1
         return Permit(admission=self)  # type: ignore[arg-type]
 
-    def give_back(self, hold: Any, tokens: int) -> None:
+    def release(self, reservation: Any, tokens: int) -> None:
         """Count a request that ended."""
         self.running -= 1
 
@@ -186,7 +186,7 @@
 def product(name: str = "burdockdrum", **changes: Any) -> Policy:
     """Return the product's policy, with settings changed."""
     return Policy(
-        name=name, router=Router, admission=Admission, changes=changes
+        name=name, router=Router, admission=AdmissionControl, changes=changes
     )
 
 
--- a/scripts/experiment/world.py
+++ b/scripts/experiment/world.py
@@ -10,7 +10,7 @@
 import random
 from typing import Any
 
-from burdockdrum.admission import Admission
+from burdockdrum.admission import AdmissionControl
 from burdockdrum.emulator import EmulatedEngine
 from burdockdrum.emulator import EngineSettings
 from burdockdrum.emulator import Fault
@@ -207,7 +207,7 @@
             vms=directory,
             policy=settings,
         )
-        admission: Admission = policy.admission(
+        admission: AdmissionControl = policy.admission(
             clock=clock,
             configuration=None,
             router=router,
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -5,7 +5,7 @@
 import types
 import unittest
 
-from burdockdrum.admission import Admission
+from burdockdrum.admission import AdmissionControl
 from burdockdrum.endpoints import Announcement
 from burdockdrum.endpoints import EndpointRegistry
 from burdockdrum.endpoints import Report
@@ -54,7 +54,7 @@
             vms=vms,
             policy=settings,
         )
-        self.admission = Admission(
+        self.admission = AdmissionControl(
             clock=clock,
             configuration=None,
             router=self.router,
--- a/tests/daemon/test_whole_path.py
+++ b/tests/daemon/test_whole_path.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from burdockdrum.admission import Admission
+from burdockdrum.admission import AdmissionControl
 from burdockdrum.client import GatewayClient
 from burdockdrum.emulator import Announcer
 from burdockdrum.emulator import build_engine_application
@@ -199,7 +199,7 @@
         # refused must wait their turn again, or they get past all who wait.
         engines = {1: make_engine(0.2), 2: make_engine(0.2)}
         returned = []
-        wait_again = Admission.wait_again
+        wait_again = AdmissionControl.wait_again
 
         async def note(admission, client_id, request):
             returned.append(client_id)
@@ -214,6 +214,6 @@
             answers = await asyncio.gather(*calls)
             self.assertEqual({(200, "whole")}, set(answers))
 
-        with mock.patch.object(Admission, "wait_again", note):
+        with mock.patch.object(AdmissionControl, "wait_again", note):
             run_virtual(run_with_engines(engines, use))
         self.assertTrue(returned)
