--- a/burdockdrum/holdings/messages.py
+++ b/burdockdrum/holdings/messages.py
@@ -11,15 +11,16 @@
 from burdockdrum.peers import Message
 
 
-class HeldChange(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
+class PrefixCacheChange(
+    msgspec.Struct, frozen=True, kw_only=True, array_like=True
+):
     """A change of an endpoint's prefix cache, as the endpoint reported it.
 
     ``epoch`` identifies the cache and changes when the endpoint restarts.
     ``number`` is the number of the last event included. ``tokens_by_part``
-    has the tokens now cached of each changed part, 0 if it was evicted; if
-    ``whole``, it is a snapshot, and parts not listed are not cached. If
-    ``is_silent``, the endpoint is unreachable, and nothing can be fetched
-    from it.
+    has the tokens now cached of each changed part, 0 if it was evicted. In a
+    snapshot, marked by ``is_snapshot``, parts not listed are not cached. If
+    ``is_unreachable``, nothing can be fetched from the endpoint.
     """
 
     endpoint_id: str
@@ -28,8 +29,8 @@
     epoch: int
     number: int
     tokens_by_part: dict[str, int]
-    whole: bool = False
-    is_silent: bool = False
+    is_snapshot: bool = False
+    is_unreachable: bool = False
 
 
 class PrefixCacheQuery(Message, frozen=True, kw_only=True, array_like=True):
@@ -51,6 +52,6 @@
 
     wire_kind: ClassVar[str | None] = "holdings.HoldingsNotice"
 
-    changes: list[HeldChange]
+    changes: list[PrefixCacheChange]
     forward_to_data_centre: bool = False
     forward_to_region: bool = False
--- a/burdockdrum/holdings/listening.py
+++ b/burdockdrum/holdings/polling.py
@@ -14,11 +14,11 @@
 
 import msgspec
 
-from burdockdrum.holdings.ledger import HoldingsLedger
-from burdockdrum.holdings.messages import HeldChange
-from burdockdrum.holdings.source import HeldEvents
-from burdockdrum.holdings.source import HoldingsUnknown
+from burdockdrum.holdings.messages import PrefixCacheChange
+from burdockdrum.holdings.source import PrefixCacheEvents
 from burdockdrum.holdings.source import PrefixCacheSource
+from burdockdrum.holdings.source import PrefixCacheUnavailable
+from burdockdrum.holdings.table import PrefixCacheTable
 from burdockdrum.logs import log_decision
 from burdockdrum.logs import log_failure
 from burdockdrum.peers import VmIdentity
@@ -43,7 +43,7 @@
         own: VmIdentity,
         clock: Clock,
         source: PrefixCacheSource,
-        ledger: HoldingsLedger,
+        table: PrefixCacheTable,
         read_endpoints: Callable[[], Mapping[str, RegisteredEndpoint]],
         read_entries: Callable[[], Iterable[VmIdentity]],
         has_prefix_cache: Callable[[str], bool],
@@ -59,7 +59,7 @@
         self._own = own
         self._clock = clock
         self._source = source
-        self._ledger = ledger
+        self._table = table
         self._read_endpoints = read_endpoints
         self._read_entries = read_entries
         self._has_prefix_cache = has_prefix_cache
@@ -73,7 +73,7 @@
 
     async def run(self) -> None:
         """Poll the assigned endpoints until cancelled."""
-        if not self._source.is_there:
+        if not self._source.is_available:
             return
         await self._initial_sync_done.wait()
         async with asyncio.TaskGroup() as group:
@@ -123,14 +123,14 @@
                 await self._query(source, endpoint)
                 if not was_reachable:
                     self._publish_reachability(
-                        endpoint.endpoint_id, is_silent=False
+                        endpoint.endpoint_id, is_unreachable=False
                     )
                 was_reachable = True
-            except HoldingsUnknown as error:
+            except PrefixCacheUnavailable as error:
                 delay = RETRY_DELAY_SECONDS
                 if was_reachable:
                     self._publish_reachability(
-                        endpoint.endpoint_id, is_silent=True
+                        endpoint.endpoint_id, is_unreachable=True
                     )
                     log_failure(
                         "holdings.unknown",
@@ -142,7 +142,7 @@
             await self._clock.sleep(max(0.0, delay - elapsed))
 
     def _publish_reachability(
-        self, endpoint_id: str, *, is_silent: bool
+        self, endpoint_id: str, *, is_unreachable: bool
     ) -> None:
         """Record whether an endpoint answers, with a snapshot of its cache.
 
@@ -150,15 +150,17 @@
         unreachable endpoint takes seconds. So one failed query is enough: if
         it was a false alarm, fetches only go elsewhere for a short time.
         """
-        current = self._ledger.read_whole(endpoint_id)
+        current = self._table.read_snapshot(endpoint_id)
         if current is not None:
-            change = msgspec.structs.replace(current, is_silent=is_silent)
-            self._ledger.take(change, self._clock.monotonic())
+            change = msgspec.structs.replace(
+                current, is_unreachable=is_unreachable
+            )
+            self._table.apply(change, self._clock.monotonic())
 
     async def _query(
         self, source: PrefixCacheSource, endpoint: RegisteredEndpoint
     ) -> None:
-        cache = self._ledger.find(endpoint.endpoint_id)
+        cache = self._table.find(endpoint.endpoint_id)
         if cache is None:
             await self._read_snapshot(source, endpoint)
             return
@@ -169,10 +171,10 @@
         self._apply_events(endpoint, events)
 
     def _apply_events(
-        self, endpoint: RegisteredEndpoint, events: HeldEvents
+        self, endpoint: RegisteredEndpoint, events: PrefixCacheEvents
     ) -> None:
-        self._ledger.take(
-            HeldChange(
+        self._table.apply(
+            PrefixCacheChange(
                 endpoint_id=endpoint.endpoint_id,
                 address=endpoint.address,
                 data_centre=endpoint.data_centre,
@@ -186,16 +188,16 @@
     async def _read_snapshot(
         self, source: PrefixCacheSource, endpoint: RegisteredEndpoint
     ) -> None:
-        snapshot = await source.read_list(endpoint)
-        self._ledger.take(
-            HeldChange(
+        snapshot = await source.read_snapshot(endpoint)
+        self._table.apply(
+            PrefixCacheChange(
                 endpoint_id=endpoint.endpoint_id,
                 address=endpoint.address,
                 data_centre=endpoint.data_centre,
                 epoch=snapshot.epoch,
                 number=snapshot.number,
                 tokens_by_part=snapshot.tokens_by_part,
-                whole=True,
+                is_snapshot=True,
             ),
             self._clock.monotonic(),
         )
--- a/burdockdrum/holdings/services.py
+++ b/burdockdrum/holdings/services.py
@@ -3,12 +3,12 @@
 import random
 
 from burdockdrum.configuration import ConfigurationService
-from burdockdrum.holdings.ledger import HoldingsLedger
-from burdockdrum.holdings.listening import PrefixCachePoller
+from burdockdrum.holdings.polling import PrefixCachePoller
 from burdockdrum.holdings.shared_parts import SharedParts
-from burdockdrum.holdings.sharing import HoldingsSharing
+from burdockdrum.holdings.sharing import PrefixCacheSharing
 from burdockdrum.holdings.source import NullSource
 from burdockdrum.holdings.source import PrefixCacheSource
+from burdockdrum.holdings.table import PrefixCacheTable
 from burdockdrum.kernel import Kernel
 from burdockdrum.peers import Peers
 from burdockdrum.peers import VmIdentity
@@ -24,7 +24,7 @@
         return
     kernel.add("holdings_source", lambda kernel: NullSource())
     kernel.add("shared_parts", lambda kernel: SharedParts())
-    kernel.add("holdings", lambda kernel: HoldingsLedger())
+    kernel.add("holdings", lambda kernel: PrefixCacheTable())
     kernel.add("holdings_sharing", _build_sharing)
     kernel.add("holdings_listener", _build_poller)
 
@@ -41,7 +41,7 @@
     ]
 
 
-def _build_sharing(kernel: Kernel) -> HoldingsSharing:
+def _build_sharing(kernel: Kernel) -> PrefixCacheSharing:
     own = kernel.find("identity", VmIdentity)
     topology = kernel.find("settings", Settings).topology
     same_region = {
@@ -49,11 +49,11 @@
         for name, region in topology.regions_by_data_centre.items()
         if region == own.region
     }
-    return HoldingsSharing(
+    return PrefixCacheSharing(
         peers=kernel.find("peers", Peers),
         clock=kernel.find("clock", Clock),
         rng=kernel.find("random", random.Random),
-        ledger=kernel.find("holdings", HoldingsLedger),
+        table=kernel.find("holdings", PrefixCacheTable),
         shared=kernel.find("shared_parts", SharedParts),
         region_data_centres=frozenset({own.data_centre, *same_region}),
         read_entries=lambda: _read_entries(kernel),
@@ -64,7 +64,7 @@
     own = kernel.find("identity", VmIdentity)
     configuration = kernel.find("configuration", ConfigurationService)
     registrations = kernel.find("registrations", RegistrationFollower)
-    sharing = kernel.find("holdings_sharing", HoldingsSharing)
+    sharing = kernel.find("holdings_sharing", PrefixCacheSharing)
 
     def has_prefix_cache(service: str) -> bool:
         table = configuration.current.route_table
@@ -79,7 +79,7 @@
         own=own,
         clock=kernel.find("clock", Clock),
         source=source,
-        ledger=kernel.find("holdings", HoldingsLedger),
+        table=kernel.find("holdings", PrefixCacheTable),
         read_endpoints=lambda: registrations.endpoints_by_id,
         read_entries=lambda: [
             entry
--- a/burdockdrum/holdings/sharing.py
+++ b/burdockdrum/holdings/sharing.py
@@ -18,11 +18,11 @@
 
 import msgspec
 
-from burdockdrum.holdings.ledger import HoldingsLedger
-from burdockdrum.holdings.messages import HeldChange
+from burdockdrum.holdings.messages import PrefixCacheChange
 from burdockdrum.holdings.messages import PrefixCacheQuery
 from burdockdrum.holdings.messages import PrefixCacheUpdate
 from burdockdrum.holdings.shared_parts import SharedParts
+from burdockdrum.holdings.table import PrefixCacheTable
 from burdockdrum.logs import log_decision
 from burdockdrum.peers import CallFailed
 from burdockdrum.peers import Message
@@ -52,7 +52,7 @@
 MAX_AGE_SECONDS = 40.0
 
 
-class HoldingsSharing:
+class PrefixCacheSharing:
     """Sends and receives changes of endpoints' prefix caches."""
 
     def __init__(
@@ -61,7 +61,7 @@
         peers: Peers,
         clock: Clock,
         rng: random.Random,
-        ledger: HoldingsLedger,
+        table: PrefixCacheTable,
         shared: SharedParts,
         region_data_centres: frozenset[str],
         read_entries: Callable[[], Iterable[VmIdentity]],
@@ -80,7 +80,7 @@
         self._peers = peers
         self._clock = clock
         self._rng = rng
-        self._ledger = ledger
+        self._table = table
         self._shared = shared
         self._region_data_centres = region_data_centres
         self._read_entries = read_entries
@@ -95,21 +95,21 @@
         self._data_centres_with_entries: frozenset[str] = frozenset(
             {self._own.data_centre}
         )
-        ledger.listeners.append(self._queue_change)
+        table.listeners.append(self._queue_change)
         peers.register(PrefixCacheUpdate, self._receive_update)
         peers.register(PrefixCacheQuery, self._answer_query)
 
-    def note_shared(self, part_id: str) -> None:
+    def mark_shared(self, part_id: str) -> None:
         """Mark a part as shared and publish the endpoints that cache it."""
         if not self._shared.add(part_id):
             return
-        for cache in list(self._ledger.holders(part_id)):
+        for cache in list(self._table.holders(part_id)):
             cached = {part_id: cache.tokens_by_part[part_id]}
-            snapshot = self._ledger.read_whole(cache.endpoint_id)
+            snapshot = self._table.read_snapshot(cache.endpoint_id)
             if snapshot is not None:
                 self._queue_change(
                     msgspec.structs.replace(
-                        snapshot, tokens_by_part=cached, whole=False
+                        snapshot, tokens_by_part=cached, is_snapshot=False
                     )
                 )
 
@@ -174,7 +174,7 @@
         if now - self._regions_sent_at >= REGION_SEND_INTERVAL_SECONDS:
             self._regions_sent_at = now
             self._send_to_other_regions(entries)
-        self._ledger.forget_stale(now - MAX_AGE_SECONDS, self.read_polled())
+        self._table.forget_stale(now - MAX_AGE_SECONDS, self.read_polled())
 
     def _split_entries(self) -> "_Entries":
         entries = _Entries()
@@ -193,7 +193,7 @@
             if now - snapshot_at < SNAPSHOT_INTERVAL_SECONDS:
                 continue
             self._snapshot_at_by_id[endpoint_id] = now
-            snapshot = self._ledger.read_whole(endpoint_id)
+            snapshot = self._table.read_snapshot(endpoint_id)
             if snapshot is not None:
                 self._queue_change(snapshot)
         for endpoint_id in self._snapshot_at_by_id.keys() - set(polled_ids):
@@ -252,7 +252,7 @@
             self._own.vm_id
         ]
 
-    def _queue_change(self, change: HeldChange) -> None:
+    def _queue_change(self, change: PrefixCacheChange) -> None:
         """Queue a change of the table for the scopes it is sent to."""
         shared_change = self._filter_shared(change)
         if change.endpoint_id in self.read_polled():
@@ -263,7 +263,7 @@
                 _filter_cross_region(shared_change)
             )
 
-    def _is_published_here(self, change: HeldChange) -> bool:
+    def _is_published_here(self, change: PrefixCacheChange) -> bool:
         """Return whether this data centre publishes a change to others.
 
         Endpoints in a data centre without live entries are polled and
@@ -277,7 +277,7 @@
             and change.data_centre not in self._data_centres_with_entries
         )
 
-    def _filter_shared(self, change: HeldChange) -> HeldChange:
+    def _filter_shared(self, change: PrefixCacheChange) -> PrefixCacheChange:
         tokens_by_part = {
             part_id: tokens
             for part_id, tokens in change.tokens_by_part.items()
@@ -295,18 +295,20 @@
                 self._queued_for_forwarding.add(change)
         return None
 
-    def _apply_all(self, changes: list[HeldChange]) -> list[HeldChange]:
+    def _apply_all(
+        self, changes: list[PrefixCacheChange]
+    ) -> list[PrefixCacheChange]:
         """Apply changes; return those that were not outdated."""
         now = self._clock.monotonic()
         for change in changes:
             for part_id in change.tokens_by_part:
                 self._shared.add(part_id)
-        return [c for c in changes if self._ledger.take(c, now)]
+        return [c for c in changes if self._table.apply(c, now)]
 
     async def _answer_query(
         self, sender: Sender, message: PrefixCacheQuery
     ) -> Message | None:
-        known = map(self._ledger.read_whole, self._ledger.caches_by_id)
+        known = map(self._table.read_snapshot, self._table.caches_by_id)
         return PrefixCacheUpdate(
             changes=[self._filter_shared(c) for c in known if c is not None]
         )
@@ -324,34 +326,38 @@
     """The changes to send, merged into one for each endpoint."""
 
     def __init__(self) -> None:
-        self._changes_by_id: dict[str, HeldChange] = {}
+        self._changes_by_id: dict[str, PrefixCacheChange] = {}
 
-    def add(self, change: HeldChange) -> None:
+    def add(self, change: PrefixCacheChange) -> None:
         """Merge a change into the queued one of its endpoint."""
-        has_content = change.tokens_by_part or change.whole or change.is_silent
+        has_content = (
+            change.tokens_by_part
+            or change.is_snapshot
+            or change.is_unreachable
+        )
         if not has_content:
             return
         queued = self._changes_by_id.get(change.endpoint_id)
         is_same_epoch = queued is not None and queued.epoch == change.epoch
-        if queued is not None and is_same_epoch and not change.whole:
+        if queued is not None and is_same_epoch and not change.is_snapshot:
             change = msgspec.structs.replace(
                 change,
                 tokens_by_part={
                     **queued.tokens_by_part,
                     **change.tokens_by_part,
                 },
-                whole=queued.whole,
+                is_snapshot=queued.is_snapshot,
             )
         self._changes_by_id[change.endpoint_id] = change
 
-    def pop_all(self) -> list[HeldChange]:
+    def pop_all(self) -> list[PrefixCacheChange]:
         """Return and remove the queued changes."""
         changes = list(self._changes_by_id.values())
         self._changes_by_id.clear()
         return changes
 
 
-def _filter_cross_region(change: HeldChange) -> HeldChange:
+def _filter_cross_region(change: PrefixCacheChange) -> PrefixCacheChange:
     tokens_by_part = {
         part_id: tokens
         for part_id, tokens in change.tokens_by_part.items()
--- a/burdockdrum/holdings/source.py
+++ b/burdockdrum/holdings/source.py
@@ -9,12 +9,12 @@
 from burdockdrum.registrations import RegisteredEndpoint
 
 
-class HoldingsUnknown(Exception):
+class PrefixCacheUnavailable(Exception):
     """An endpoint did not answer, or its answer could not be decoded."""
 
 
 @dataclass(frozen=True, kw_only=True)
-class HeldEvents:
+class PrefixCacheEvents:
     """The changes of an endpoint's prefix cache since an event.
 
     ``epoch`` changes when the endpoint restarts; ``number`` is that of the
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class HeldList:
+class PrefixCacheSnapshot:
     """A snapshot of an endpoint's prefix cache as of an event number."""
 
     epoch: int
@@ -40,24 +40,26 @@
 class PrefixCacheSource(Protocol):
     """Queries endpoints for their prefix caches.
 
-    ``is_there`` is whether this deployment's endpoints report them at all.
+    ``is_available`` is whether this deployment's endpoints report them at all.
     """
 
-    is_there: bool
+    is_available: bool
 
     async def read_events(
         self, endpoint: RegisteredEndpoint, since: int
-    ) -> HeldEvents:
+    ) -> PrefixCacheEvents:
         """Return the changes after an event; may wait for the next one.
 
-        :raises HoldingsUnknown: if the endpoint gives no usable answer
+        :raises PrefixCacheUnavailable: if the endpoint gives no usable answer
         """
         ...
 
-    async def read_list(self, endpoint: RegisteredEndpoint) -> HeldList:
+    async def read_snapshot(
+        self, endpoint: RegisteredEndpoint
+    ) -> PrefixCacheSnapshot:
         """Return a snapshot of an endpoint's prefix cache.
 
-        :raises HoldingsUnknown: if the endpoint gives no usable answer
+        :raises PrefixCacheUnavailable: if the endpoint gives no usable answer
         """
         ...
 
@@ -65,14 +67,20 @@
 class NullSource:
     """The source for endpoints that don't report their prefix caches."""
 
-    is_there = False
+    is_available = False
 
     async def read_events(
         self, endpoint: RegisteredEndpoint, since: int
-    ) -> HeldEvents:
-        """Raise ``HoldingsUnknown``."""
-        raise HoldingsUnknown("endpoints don't report their prefix caches")
-
-    async def read_list(self, endpoint: RegisteredEndpoint) -> HeldList:
-        """Raise ``HoldingsUnknown``."""
-        raise HoldingsUnknown("endpoints don't report their prefix caches")
+    ) -> PrefixCacheEvents:
+        """Raise ``PrefixCacheUnavailable``."""
+        raise PrefixCacheUnavailable(
+            "endpoints don't report their prefix caches"
+        )
+
+    async def read_snapshot(
+        self, endpoint: RegisteredEndpoint
+    ) -> PrefixCacheSnapshot:
+        """Raise ``PrefixCacheUnavailable``."""
+        raise PrefixCacheUnavailable(
+            "endpoints don't report their prefix caches"
+        )
--- a/burdockdrum/holdings/ledger.py
+++ b/burdockdrum/holdings/table.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from dataclasses import field
 
-from burdockdrum.holdings.messages import HeldChange
+from burdockdrum.holdings.messages import PrefixCacheChange
 
 
 @dataclass(kw_only=True)
@@ -18,7 +18,7 @@
     """The prefix cache of one endpoint, as the endpoint reported it.
 
     ``received_at`` is the monotonic time of the last report. If
-    ``is_silent``, the endpoint is unreachable: it does not answer queries.
+    ``is_unreachable``, the endpoint does not answer queries.
     """
 
     endpoint_id: str
@@ -27,16 +27,16 @@
     epoch: int
     number: int
     received_at: float
-    is_silent: bool = False
+    is_unreachable: bool = False
     tokens_by_part: dict[str, int] = field(default_factory=dict)
 
 
-class HoldingsLedger:
+class PrefixCacheTable:
     """The prefix caches by endpoint id, indexed by the parts they hold."""
 
     def __init__(self) -> None:
         """Create an empty table."""
-        self.listeners: list[Callable[[HeldChange], None]] = []
+        self.listeners: list[Callable[[PrefixCacheChange], None]] = []
         self._caches_by_id: dict[str, EndpointCache] = {}
         self._ids_by_part: dict[str, set[str]] = {}
 
@@ -54,7 +54,7 @@
         for endpoint_id in self._ids_by_part.get(part_id, ()):
             yield self._caches_by_id[endpoint_id]
 
-    def take(self, change: HeldChange, now: float) -> bool:
+    def apply(self, change: PrefixCacheChange, now: float) -> bool:
         """Apply a change that an endpoint reported.
 
         :returns: False if the change is outdated and was ignored
@@ -67,8 +67,8 @@
             return False
         cache.received_at = now
         cache.number = change.number
-        cache.is_silent = change.is_silent
-        if change.whole:
+        cache.is_unreachable = change.is_unreachable
+        if change.is_snapshot:
             evicted = (
                 cache.tokens_by_part.keys() - change.tokens_by_part.keys()
             )
@@ -80,20 +80,20 @@
             listener(change)
         return True
 
-    def read_whole(self, endpoint_id: str) -> HeldChange | None:
+    def read_snapshot(self, endpoint_id: str) -> PrefixCacheChange | None:
         """Return the cache of an endpoint as a snapshot, None if unknown."""
         cache = self._caches_by_id.get(endpoint_id)
         if cache is None:
             return None
-        return HeldChange(
+        return PrefixCacheChange(
             endpoint_id=endpoint_id,
             address=cache.address,
             data_centre=cache.data_centre,
             epoch=cache.epoch,
             number=cache.number,
             tokens_by_part=dict(cache.tokens_by_part),
-            whole=True,
-            is_silent=cache.is_silent,
+            is_snapshot=True,
+            is_unreachable=cache.is_unreachable,
         )
 
     def forget(self, endpoint_id: str) -> None:
@@ -114,7 +114,9 @@
             if endpoint_id not in kept_ids and cache.received_at < since:
                 self.forget(endpoint_id)
 
-    def _add_cache(self, change: HeldChange, now: float) -> EndpointCache:
+    def _add_cache(
+        self, change: PrefixCacheChange, now: float
+    ) -> EndpointCache:
         cache = EndpointCache(
             endpoint_id=change.endpoint_id,
             address=change.address,
@@ -142,7 +144,9 @@
                 del self._ids_by_part[part_id]
 
 
-def _is_newer(change: HeldChange, cache: EndpointCache) -> bool:
+def _is_newer(change: PrefixCacheChange, cache: EndpointCache) -> bool:
     if change.number == cache.number:
-        return change.whole or change.is_silent != cache.is_silent
+        return (
+            change.is_snapshot or change.is_unreachable != cache.is_unreachable
+        )
     return change.number > cache.number
--- a/burdockdrum/passthrough/fleet.py
+++ b/burdockdrum/passthrough/fleet.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 import random
 
-from burdockdrum.holdings import HoldingsLedger
+from burdockdrum.holdings import PrefixCacheTable
 from burdockdrum.passthrough.endpoint_rating import EndpointRater
 from burdockdrum.passthrough.endpoint_rating import RatedRequest
 from burdockdrum.passthrough.endpoint_state import EndpointState
@@ -55,8 +55,8 @@
         read_unreported_entries: Callable[[], int] = int,
         read_load_age: Callable[[], float] = float,
         drop_endpoint: Callable[[str], None] = lambda endpoint_id: None,
-        prefix_cache_table: HoldingsLedger | None = None,
-        note_shared: Callable[[str], None] = lambda part_id: None,
+        prefix_cache_table: PrefixCacheTable | None = None,
+        mark_shared: Callable[[str], None] = lambda part_id: None,
         read_region: Callable[[str], str | None] = lambda name: None,
         mechanisms: MechanismSettings | None = None,
         data_centre: str | None = None,
@@ -72,7 +72,7 @@
         :param drop_endpoint: removes an endpoint, by its id
         :param prefix_cache_table: the cached prefixes that endpoints have
             reported
-        :param note_shared: called with the id of each shared prompt part
+        :param mark_shared: called with the id of each shared prompt part
         :param read_region: returns the region of a data centre
         :param mechanisms: the enabled parts of the policy; default all
         :param data_centre: the data centre of this entry VM
@@ -84,7 +84,7 @@
         self.prefix_cache_view = PrefixCacheView(
             read_now=clock.monotonic,
             table=prefix_cache_table,
-            note_shared=note_shared,
+            mark_shared=mark_shared,
         )
         self.engines = EngineEstimates(mechanisms=self._mechanisms)
         self._timings = RequestTimings(engines=self.engines)
--- a/burdockdrum/passthrough/prefix_cache_view.py
+++ b/burdockdrum/passthrough/prefix_cache_view.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from burdockdrum.holdings import HoldingsLedger
+from burdockdrum.holdings import PrefixCacheTable
 from burdockdrum.passthrough.prompts import Prompt
 from burdockdrum.passthrough.prompts import PromptPart
 from burdockdrum.registrations import PlacedParts
@@ -95,18 +95,20 @@
         self,
         *,
         read_now: Callable[[], float],
-        table: HoldingsLedger | None = None,
-        note_shared: Callable[[str], None] = lambda part_id: None,
+        table: PrefixCacheTable | None = None,
+        mark_shared: Callable[[str], None] = lambda part_id: None,
     ) -> None:
         """Create it without any sent prompts.
 
         :param read_now: returns the monotonic time
         :param table: the cache reports of endpoints
-        :param note_shared: called with the id of each shared part
+        :param mark_shared: called with the id of each shared part
         """
         self._read_now = read_now
-        self._cache_reports = table if table is not None else HoldingsLedger()
-        self._note_shared = note_shared
+        self._cache_reports = (
+            table if table is not None else PrefixCacheTable()
+        )
+        self._mark_shared = mark_shared
         self._sent_by_id: dict[str, SentParts] = {}
         self._pending_notices: list[PlacedParts] = []
 
@@ -180,7 +182,7 @@
         best: PrefixHolder | None = None
         for endpoint_id, address, data_centre in near:
             memory = self._cache_reports.find(endpoint_id)
-            if memory is not None and memory.is_silent:
+            if memory is not None and memory.is_unreachable:
                 continue
             tokens = self._count_cached_tokens(endpoint_id, shared)
             if tokens and (best is None or tokens > best.tokens):
@@ -218,7 +220,7 @@
             return best
         longest = max(shared, key=lambda part: part.tokens)
         for memory in self._cache_reports.holders(longest.part_id):
-            if memory.is_silent or not is_eligible(memory.data_centre):
+            if memory.is_unreachable or not is_eligible(memory.data_centre):
                 continue
             tokens = self._count_cached_tokens(memory.endpoint_id, shared)
             if best is None or tokens > best.tokens:
@@ -258,7 +260,7 @@
     def _note_shared_parts(self, parts: Iterable[tuple[str, int]]) -> None:
         for part_id, tokens in parts:
             if tokens >= MIN_REPORTED_TOKENS:
-                self._note_shared(part_id)
+                self._mark_shared(part_id)
 
     def _find_or_add_sent(
         self, endpoint_id: str, memory_tokens: int
--- a/burdockdrum/passthrough/services.py
+++ b/burdockdrum/passthrough/services.py
@@ -6,8 +6,8 @@
 
 from burdockdrum.callers import CallerFinder
 from burdockdrum.configuration import ConfigurationService
-from burdockdrum.holdings import HoldingsLedger
-from burdockdrum.holdings import HoldingsSharing
+from burdockdrum.holdings import PrefixCacheSharing
+from burdockdrum.holdings import PrefixCacheTable
 from burdockdrum.http1 import ConnectionPool
 from burdockdrum.http1 import Limits
 from burdockdrum.http1 import Listener
@@ -73,10 +73,10 @@
         read_unreported_entries=lambda: sharing.unheard,
         read_load_age=lambda: sharing.lag,
         drop_endpoint=registrations.drop,
-        prefix_cache_table=kernel.find("holdings", HoldingsLedger),
-        note_shared=kernel.find(
-            "holdings_sharing", HoldingsSharing
-        ).note_shared,
+        prefix_cache_table=kernel.find("holdings", PrefixCacheTable),
+        mark_shared=kernel.find(
+            "holdings_sharing", PrefixCacheSharing
+        ).mark_shared,
         read_region=topology.regions_by_data_centre.get,
         mechanisms=settings.policy.mechanisms,
         data_centre=kernel.find("identity", VmIdentity).data_centre,
--- a/scripts/experiment/passed/world.py
+++ b/scripts/experiment/passed/world.py
@@ -6,8 +6,8 @@
 import functools
 import random
 
-from burdockdrum.holdings import HeldChange
-from burdockdrum.holdings import HoldingsLedger
+from burdockdrum.holdings import PrefixCacheChange
+from burdockdrum.holdings import PrefixCacheTable
 from burdockdrum.passthrough.fleet import Fleet
 from burdockdrum.passthrough.target_selection import TargetSelector
 from burdockdrum.peers import VmIdentity
@@ -54,7 +54,7 @@
     is_up: bool = True
     fleet: Fleet = field(init=False)
     placing: Placer = field(init=False)
-    ledger: HoldingsLedger = field(init=False)
+    prefix_cache_table: PrefixCacheTable = field(init=False)
     loads_by_vm: dict[str, dict[str, list[RankLoad]]] = field(
         default_factory=dict
     )
@@ -176,7 +176,7 @@
         """Give an entry a policy that knows nothing yet."""
         region = entry.identity.region
         endpoints = self._endpoints_by_region[region]
-        entry.ledger = HoldingsLedger()
+        entry.prefix_cache_table = PrefixCacheTable()
         entry.loads_by_vm = {}
         entry.rooms = []
         entry.fleet = Fleet(
@@ -185,7 +185,7 @@
             read_endpoints=lambda: endpoints,
             read_load=entry.load_of,
             read_load_age=lambda: TELL_SECONDS * self.times,
-            prefix_cache_table=entry.ledger,
+            prefix_cache_table=entry.prefix_cache_table,
             read_region=lambda name: name,
             mechanisms=self._variant.mechanisms,
         )
@@ -277,12 +277,12 @@
                     take = functools.partial(self._take, entry, change)
                     self.schedule.after(seconds * self.times, take)
 
-    def _take(self, entry: Entry, change: HeldChange) -> None:
-        entry.ledger.take(change, self.schedule.now)
+    def _take(self, entry: Entry, change: PrefixCacheChange) -> None:
+        entry.prefix_cache_table.apply(change, self.schedule.now)
 
-    def _read_change(self, endpoint: RegisteredEndpoint) -> HeldChange:
+    def _read_change(self, endpoint: RegisteredEndpoint) -> PrefixCacheChange:
         engine = self.engines_by_id[endpoint.endpoint_id]
-        return HeldChange(
+        return PrefixCacheChange(
             endpoint_id=endpoint.endpoint_id,
             address=endpoint.address,
             data_centre=endpoint.data_centre,
@@ -293,7 +293,7 @@
                 for part_id, tokens in engine.tokens_by_part.items()
                 if not part_id.startswith("own-")
             },
-            whole=True,
+            is_snapshot=True,
         )
 
     def _strike(self, happening: Happening) -> None:
--- a/tests/holdings/test_sharing.py
+++ b/tests/holdings/test_sharing.py
@@ -27,7 +27,7 @@
     run_virtual(main())
 
 
-class HoldingsSharingTest(unittest.TestCase):
+class PrefixCacheSharingTest(unittest.TestCase):
     """Polling, propagation and recovery among a few entries."""
 
     def setUp(self):
@@ -62,7 +62,7 @@
                 self.assertEqual(
                     {"plan": 4900}, dict(entry.cached_parts("n0"))
                 )
-                cache = entry.ledger.find("n0")
+                cache = entry.table.find("n0")
                 self.assertEqual("n-dc", cache.data_centre)
             world.caches["n0"].put("plan", 0)
             await asyncio.sleep(3.5)
@@ -94,7 +94,7 @@
             world.caches["n0"].put("plan", 4900)
             await asyncio.sleep(2)
             for name in ("n-a", "n-b", "n-c"):
-                world.entries[name].sharing.note_shared("plan")
+                world.entries[name].sharing.mark_shared("plan")
             await asyncio.sleep(1)
             for name in ("n-a", "n-b", "n-c"):
                 self.assertIn("plan", world.entries[name].cached_parts("n0"))
@@ -168,7 +168,7 @@
             )
             await world.stop(gone)
             for entry in world.entries.values():
-                entry.sharing.note_shared("next")
+                entry.sharing.mark_shared("next")
             world.caches["n0"].put("next", 700)
             await asyncio.sleep(3)
             for name, entry in world.entries.items():
@@ -248,13 +248,13 @@
             cache.put("plan", 4900)
             await asyncio.sleep(4)
             for name in NAMES:
-                known = world.entries[name].ledger.find("n0")
-                self.assertTrue(known.is_silent, name)
+                known = world.entries[name].table.find("n0")
+                self.assertTrue(known.is_unreachable, name)
             cache.is_unreachable = False
             await asyncio.sleep(5)
             for name in NAMES:
-                known = world.entries[name].ledger.find("n0")
-                self.assertFalse(known.is_silent, name)
+                known = world.entries[name].table.find("n0")
+                self.assertFalse(known.is_unreachable, name)
                 self.assertIn("plan", known.tokens_by_part)
 
         play(check)
--- a/tests/holdings/world.py
+++ b/tests/holdings/world.py
@@ -3,12 +3,12 @@
 import asyncio
 import random
 
-from burdockdrum.holdings import HeldEvents
-from burdockdrum.holdings import HeldList
-from burdockdrum.holdings import HoldingsLedger
-from burdockdrum.holdings import HoldingsSharing
-from burdockdrum.holdings import HoldingsUnknown
+from burdockdrum.holdings import PrefixCacheEvents
 from burdockdrum.holdings import PrefixCachePoller
+from burdockdrum.holdings import PrefixCacheSharing
+from burdockdrum.holdings import PrefixCacheSnapshot
+from burdockdrum.holdings import PrefixCacheTable
+from burdockdrum.holdings import PrefixCacheUnavailable
 from burdockdrum.holdings import SharedParts
 from burdockdrum.metrics import Metrics
 from burdockdrum.peers import Peers
@@ -55,7 +55,7 @@
 class FakeSource:
     """A source that reads the fake caches."""
 
-    is_there = True
+    is_available = True
 
     def __init__(self, caches):
         """Create it for caches by endpoint id."""
@@ -68,18 +68,18 @@
         if len(cache.events) <= since:
             await asyncio.sleep(LONG_POLL_SECONDS)
         first = max(since, len(cache.events) - cache.max_events)
-        return HeldEvents(
+        return PrefixCacheEvents(
             epoch=cache.epoch,
             number=len(cache.events),
             has_gap=first > since,
             tokens_by_part=dict(cache.events[first:]),
         )
 
-    async def read_list(self, endpoint):
+    async def read_snapshot(self, endpoint):
         """Return a snapshot of the cache."""
         cache = await self._call(endpoint)
         cache.snapshots += 1
-        return HeldList(
+        return PrefixCacheSnapshot(
             epoch=cache.epoch,
             number=len(cache.events),
             tokens_by_part=dict(cache.tokens_by_part),
@@ -89,7 +89,7 @@
         await asyncio.sleep(CALL_DELAY_SECONDS)
         cache = self.caches[endpoint.endpoint_id]
         if cache.is_unreachable:
-            raise HoldingsUnknown("unreachable")
+            raise PrefixCacheUnavailable("unreachable")
         return cache
 
 
@@ -107,7 +107,7 @@
             control_address=f"tcp://{name}:1",
             http_address="http://x",
         )
-        self.ledger = HoldingsLedger()
+        self.table = PrefixCacheTable()
         self.metrics = Metrics()
 
     async def start(self):
@@ -123,11 +123,11 @@
             seal=Seal(secret=b"s"),
             metrics=self.metrics,
         )
-        self.sharing = HoldingsSharing(
+        self.sharing = PrefixCacheSharing(
             peers=self.peers,
             clock=world.clock,
             rng=world.rng,
-            ledger=self.ledger,
+            table=self.table,
             shared=SharedParts(),
             region_data_centres=frozenset(
                 name for name in world.data_centres if name[0] == own.region
@@ -138,7 +138,7 @@
             own=own,
             clock=world.clock,
             source=FakeSource(world.caches),
-            ledger=self.ledger,
+            table=self.table,
             read_endpoints=lambda: {
                 name: endpoint
                 for name, endpoint in world.endpoints.items()
@@ -160,7 +160,7 @@
 
     def cached_parts(self, endpoint_id):
         """Return the parts that this entry knows to be cached."""
-        cache = self.ledger.find(endpoint_id)
+        cache = self.table.find(endpoint_id)
         return cache.tokens_by_part if cache is not None else {}
 
     async def _run(self):
@@ -243,4 +243,4 @@
         """
         for entry in self.entries.values():
             for part_id in part_ids:
-                entry.sharing.note_shared(part_id)
+                entry.sharing.mark_shared(part_id)
--- a/tests/passthrough/fakes.py
+++ b/tests/passthrough/fakes.py
@@ -2,7 +2,7 @@
 
 import random
 
-from burdockdrum.holdings import HoldingsLedger
+from burdockdrum.holdings import PrefixCacheTable
 from burdockdrum.passthrough.fleet import Fleet
 from burdockdrum.passthrough.prompts import Prompt
 from burdockdrum.passthrough.prompts import PromptPart
@@ -93,7 +93,7 @@
         self.others = {}
         self.unheard = 0
         self.lag = 0.0
-        self.prefix_cache_table = HoldingsLedger()
+        self.prefix_cache_table = PrefixCacheTable()
         self.fleet = Fleet(
             clock=self.clock,
             rng=random.Random(seed),
--- a/tests/passthrough/test_regions.py
+++ b/tests/passthrough/test_regions.py
@@ -7,7 +7,7 @@
 import random
 import unittest
 
-from burdockdrum.holdings import HeldChange
+from burdockdrum.holdings import PrefixCacheChange
 from burdockdrum.http1 import RequestHead
 from burdockdrum.passthrough.model import EndpointTarget
 from burdockdrum.passthrough.model import ProxiedRequest
@@ -81,15 +81,15 @@
         self.world.others["a"] = Load.of([RankLoad(0, 1, tokens, waiting=1)])
 
     def report_prefix(self, endpoint_id, data_centre):
-        self.world.prefix_cache_table.take(
-            HeldChange(
+        self.world.prefix_cache_table.apply(
+            PrefixCacheChange(
                 endpoint_id=endpoint_id,
                 address=f"{endpoint_id}:80",
                 data_centre=data_centre,
                 epoch=1,
                 number=1,
                 tokens_by_part={"plan": 13_300},
-                whole=True,
+                is_snapshot=True,
             ),
             self.world.clock.now,
         )
--- a/tests/passthrough/test_warmth.py
+++ b/tests/passthrough/test_warmth.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from burdockdrum.holdings import HeldChange
-from burdockdrum.holdings import HoldingsLedger
+from burdockdrum.holdings import PrefixCacheChange
+from burdockdrum.holdings import PrefixCacheTable
 from burdockdrum.passthrough.engines import EngineEstimates
 from burdockdrum.passthrough.prefix_cache_view import PrefixCacheView
 from burdockdrum.passthrough.prefix_cache_view import SENT_VALID_SECONDS
@@ -27,8 +27,8 @@
     table, endpoint_id, number=1, *, data_centre="dc", **tokens_by_part
 ):
     """Record a full cache report of an endpoint."""
-    table.take(
-        HeldChange(
+    table.apply(
+        PrefixCacheChange(
             endpoint_id=endpoint_id,
             address=f"{endpoint_id}:80",
             data_centre=data_centre,
@@ -38,7 +38,7 @@
                 name.replace("_", "-"): tokens
                 for name, tokens in tokens_by_part.items()
             },
-            whole=True,
+            is_snapshot=True,
         ),
         0.0,
     )
@@ -100,7 +100,7 @@
 
     def setUp(self):
         super().setUp()
-        self.table = HoldingsLedger()
+        self.table = PrefixCacheTable()
         self.reporting = self.make(self.table)
         self.prompt = make_prompt(6000, *SHARED)
 
@@ -240,9 +240,9 @@
         # Other entries report that it does not answer cache queries.
         far = {"data_centre": "there", "head": 500, "plan_7": 4900}
         report_cache(self.world.prefix_cache_table, "far", **far)
-        whole = self.world.prefix_cache_table.read_whole("far")
-        unresponsive = msgspec.structs.replace(whole, is_silent=True)
-        self.world.prefix_cache_table.take(unresponsive, self.world.clock.now)
+        snapshot = self.world.prefix_cache_table.read_snapshot("far")
+        unresponsive = msgspec.structs.replace(snapshot, is_unreachable=True)
+        self.world.prefix_cache_table.apply(unresponsive, self.world.clock.now)
         choice = self.world.choose(make_prompt(7000, *SHARED), rank=1)
         self.assertIsNone(choice.fetch_from)
 
--- a/tests/platform/test_memories.py
+++ b/tests/platform/test_memories.py
@@ -17,7 +17,7 @@
 from adapter.memories import read_list  # noqa: E402
 from adapter.memories import RunnerMemories  # noqa: E402
 
-from burdockdrum.holdings import HoldingsUnknown  # noqa: E402
+from burdockdrum.holdings import PrefixCacheUnavailable  # noqa: E402
 from burdockdrum.http1 import ConnectionPool  # noqa: E402
 from tests.http1.wire import read_request  # noqa: E402
 from tests.http1.wire import ScriptedServer  # noqa: E402
@@ -86,9 +86,9 @@
 
     def test_what_is_no_such_list_is_refused(self):
         for change in ({"epoch": "7"}, {"next": None}, {"events": {}}):
-            with self.assertRaises(HoldingsUnknown):
+            with self.assertRaises(PrefixCacheUnavailable):
                 read_events(encode(EVENTS, **change), 19)
-        with self.assertRaises(HoldingsUnknown):
+        with self.assertRaises(PrefixCacheUnavailable):
             read_list(b'{"epoch":1}')
 
     @settings(max_examples=300, deadline=None)
@@ -105,7 +105,7 @@
             for sent in (body, body[:cut]):
                 try:
                     held = read(sent)
-                except HoldingsUnknown:
+                except PrefixCacheUnavailable:
                     continue
                 for tokens in held.tokens_by_part.values():
                     self.assertGreaterEqual(tokens, 0)
@@ -116,7 +116,7 @@
         for read in (lambda body: read_events(body, 0), read_list):
             try:
                 read(body)
-            except HoldingsUnknown:
+            except PrefixCacheUnavailable:
                 continue
 
 
@@ -152,14 +152,14 @@
 
     async def test_refusal_is_no_knowledge(self):
         memories, endpoint = await self.open(429, b"")
-        with self.assertRaises(HoldingsUnknown):
+        with self.assertRaises(PrefixCacheUnavailable):
             await memories.read_events(endpoint, 19)
 
     async def test_endpoint_that_is_down_is_no_knowledge(self):
         memories, endpoint = await self.open(200, encode(LIST))
         gone = make_endpoint("e", address="127.0.0.1:1")
-        with self.assertRaises(HoldingsUnknown):
-            await memories.read_list(gone)
-        held = await memories.read_list(endpoint)
+        with self.assertRaises(PrefixCacheUnavailable):
+            await memories.read_snapshot(gone)
+        held = await memories.read_snapshot(endpoint)
         self.assertEqual(2, len(held.tokens_by_part))
         await asyncio.sleep(0)
