--- a/burdockdrum/passthrough/attempts.py
+++ b/burdockdrum/passthrough/attempts.py
@@ -124,7 +124,7 @@
         )
         payload = self._payloads.for_endpoint(
             request,
-            endpoint_id=endpoint.known_as,
+            endpoint_id=endpoint.reported_id,
             fetch_from=target.choice.fetch_from,
             seconds_left=self._seconds_left(request),
             last_event=splitter.last_number,
--- a/burdockdrum/passthrough/endpoint_rating.py
+++ b/burdockdrum/passthrough/endpoint_rating.py
@@ -49,7 +49,7 @@
 
     ``seconds_left`` is the time until the caller's deadline, ``run_seconds``
     how long a request of the service holds a slot on average.
-    ``prefill_seconds_by_unread`` caches prefill times by uncached tokens, as
+    ``prefill_seconds_by_uncached`` caches prefill times by uncached tokens, as
     most endpoints have the same tokens of a prompt cached.
     """
 
@@ -61,7 +61,7 @@
     run_seconds: float
     errors: EstimateErrors
     body_bytes: int = 0
-    prefill_seconds_by_unread: dict[int, float] = field(default_factory=dict)
+    prefill_seconds_by_uncached: dict[int, float] = field(default_factory=dict)
 
 
 class EndpointRater:
@@ -115,16 +115,16 @@
         """
         load = self._load(endpoint, state, now)
         fetch = self._find_fetch(endpoint, request, cached_tokens)
-        unread = request.prompt.tokens - cached_tokens
+        uncached = request.prompt.tokens - cached_tokens
         if fetch is not None:
-            unread -= fetch.tokens
+            uncached -= fetch.tokens
         offered_load = self._offered_load(request.backend.name, endpoint, load)
         return RatedEndpoint(
             endpoint=endpoint,
             wait=ExpectedWait(
                 queue=self._queue(endpoint, load, request),
                 service_time=self._service_time(
-                    endpoint, request, unread, fetch
+                    endpoint, request, uncached, fetch
                 ),
                 penalty=self._penalty(endpoint, request, is_suspect)
                 + self._preemption(endpoint, load, request)
@@ -132,10 +132,10 @@
                 + self._crossing(endpoint, request),
                 expected_error=self._expected_error(request, offered_load),
             ),
-            unread_tokens=unread,
+            uncached_tokens=uncached,
             fetch=fetch,
             offered_load=offered_load,
-            queued_tokens=load.unread_tokens,
+            queued_tokens=load.uncached_tokens,
             prefill_share=min(1.0, offered_load),
         )
 
@@ -154,7 +154,7 @@
             return load
         unreported = self._read_unreported_entries()
         if unreported:
-            load = load.times(unreported + 1)
+            load = load.scaled(unreported + 1)
         load.merge(self._read_load(endpoint.endpoint_id))
         return load
 
@@ -181,29 +181,31 @@
         self,
         endpoint: RegisteredEndpoint,
         request: RatedRequest,
-        unread: int,
+        uncached: int,
         fetch: PrefixFetch | None,
     ) -> float:
         backend = request.backend
         if backend.engine is None:
             return 0.0
         engines = self._engines
-        prefill = self._prefill_seconds(request, unread)
+        prefill = self._prefill_seconds(request, uncached)
         prefill += engines.first_token_seconds(backend.name)
         factor = engines.time_factor(backend.name, endpoint.endpoint_id)
         fetching = engines.fetch_seconds(backend.name, fetch)
         return prefill * factor + fetching
 
-    def _prefill_seconds(self, request: RatedRequest, unread: int) -> float:
-        cached = request.prefill_seconds_by_unread.get(unread)
+    def _prefill_seconds(self, request: RatedRequest, uncached: int) -> float:
+        cached = request.prefill_seconds_by_uncached.get(uncached)
         if cached is None:
             cached = self._engines.prefill_seconds(
-                request.backend.name, request.prompt, unread
+                request.backend.name, request.prompt, uncached
             )
-            request.prefill_seconds_by_unread[unread] = cached
+            request.prefill_seconds_by_uncached[uncached] = cached
         return cached
 
-    def prefill_cost_tokens(self, request: RatedRequest, unread: int) -> float:
+    def prefill_cost_tokens(
+        self, request: RatedRequest, uncached: int
+    ) -> float:
         """Return the prefill cost of a prompt in tokens of short prompts.
 
         Attention makes a token of a long prompt costlier than one of a short
@@ -213,8 +215,8 @@
         if request.backend.engine is None:
             return 0.0
         if not self._mechanisms.long_prompt_cost:
-            return float(unread)
-        seconds = self._prefill_seconds(request, unread)
+            return float(uncached)
+        seconds = self._prefill_seconds(request, uncached)
         return seconds / self._engines.prefill_token_seconds(service)
 
     def _find_fetch(
@@ -297,7 +299,7 @@
         is_suspect: bool,
     ) -> float:
         penalty = 0.0
-        if endpoint.silent:
+        if endpoint.is_unreachable:
             penalty += MISSED_HEARTBEAT_PENALTY_SECONDS
         if is_suspect:
             penalty += EJECTED_PENALTY_SECONDS
--- a/burdockdrum/passthrough/endpoint_state.py
+++ b/burdockdrum/passthrough/endpoint_state.py
@@ -13,9 +13,9 @@
 from burdockdrum.registrations import RankSum
 from burdockdrum.registrations import RegisteredEndpoint
 
-# Fraction of a prompt in prefill that always counts as unread, as the engine
-# may be slower than estimated.
-MIN_UNREAD_FRACTION = 0.1
+# Fraction of a prompt in prefill that always counts as unprocessed, as the
+# engine may be slower than estimated.
+MIN_UNCACHED_FRACTION = 0.1
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -25,14 +25,14 @@
     ``fetch`` is the prefix that it would fetch from another endpoint.
     ``offered_load`` is how many seconds of prefill all entry VMs send there
     per second, ``prefill_share`` the share of its time spent on prefill.
-    ``queued_tokens`` are the unread tokens of other prompts there.
+    ``queued_tokens`` are the uncached tokens of other prompts there.
     ``prefill_cost_tokens`` is the prefill cost of the prompt, as the number of
     tokens of short prompts that take as long.
     """
 
     endpoint: RegisteredEndpoint
     wait: ExpectedWait
-    unread_tokens: int
+    uncached_tokens: int
     fetch: PrefixFetch | None = None
     offered_load: float = 0.0
     queued_tokens: float = 0.0
@@ -66,7 +66,7 @@
         return self.choice.endpoint
 
     @property
-    def unread_tokens(self) -> float:
+    def uncached_tokens(self) -> float:
         """Return the prefill cost of its prompt, 0 after the first chunk."""
         return (
             self.choice.prefill_cost_tokens
@@ -120,9 +120,9 @@
             rank_sum = load.of_rank(in_flight_request.rank)
             rank_sum.requests += 1
             if in_flight_request.first_output_at is None:
-                unread = in_flight_request.unread_tokens
-                rank_sum.waiting += unread > 0
-                rank_sum.unread_tokens += unread
+                uncached = in_flight_request.uncached_tokens
+                rank_sum.waiting += uncached > 0
+                rank_sum.uncached_tokens += uncached
         if counts_progress:
             self._subtract_progress(load, now, prefill_token_seconds)
         self.add_recent(now, 0, 0.0)
@@ -141,12 +141,12 @@
         waiting = [
             p
             for p in self.in_flight_requests
-            if p.first_output_at is None and p.unread_tokens
+            if p.first_output_at is None and p.uncached_tokens
         ]
         if not waiting:
             return
         first = min(waiting, key=lambda p: (p.rank, p.began_at))
         seconds = now - max(self.latest_first_output_at, first.began_at)
-        limit = first.unread_tokens * (1 - MIN_UNREAD_FRACTION)
+        limit = first.uncached_tokens * (1 - MIN_UNCACHED_FRACTION)
         done = min(limit, max(0.0, seconds) / prefill_token_seconds)
-        load.add(first.rank, RankSum(unread_tokens=done), -1)
+        load.add(first.rank, RankSum(uncached_tokens=done), -1)
--- a/burdockdrum/passthrough/engines.py
+++ b/burdockdrum/passthrough/engines.py
@@ -61,12 +61,12 @@
     return (1.0, tokens, pairs)
 
 
-def count_attention_pairs(prompt: Prompt, unread_tokens: int) -> float:
+def count_attention_pairs(prompt: Prompt, uncached_tokens: int) -> float:
     """Return how many pairs of tokens attention covers in a prefill.
 
-    :param unread_tokens: tokens at the end of the prompt to be prefilled
+    :param uncached_tokens: tokens at the end of the prompt to be prefilled
     """
-    cached = max(0, prompt.tokens - unread_tokens)
+    cached = max(0, prompt.tokens - uncached_tokens)
     return (prompt.tokens**2 - cached**2) / 2
 
 
@@ -184,11 +184,11 @@
         return self._curves(service).prefill.coefficients[1]
 
     def prefill_seconds(
-        self, service: str, prompt: Prompt, unread_tokens: int
+        self, service: str, prompt: Prompt, uncached_tokens: int
     ) -> float:
         """Return the prefill time of the last tokens of a prompt."""
         features = _prefill_features(
-            unread_tokens, count_attention_pairs(prompt, unread_tokens)
+            uncached_tokens, count_attention_pairs(prompt, uncached_tokens)
         )
         curve = self._curves(service).prefill
         return curve.seconds(features) - curve.coefficients[0]
@@ -222,13 +222,13 @@
         service: str,
         endpoint_id: str,
         prompt: Prompt,
-        unread_tokens: int,
+        uncached_tokens: int,
         seconds: float,
     ) -> None:
         """Record the time to first token of a request that did not queue."""
         curves = self._curves(service)
         features = _prefill_features(
-            unread_tokens, count_attention_pairs(prompt, unread_tokens)
+            uncached_tokens, count_attention_pairs(prompt, uncached_tokens)
         )
         expected = curves.prefill.seconds(features)
         if expected <= 0:
@@ -239,7 +239,7 @@
             <= _MAX_TYPICAL_DEVIATION
         )
         if is_typical and self._mechanisms.observed_engines:
-            power = max(unread_tokens, 1).bit_length() - 1
+            power = max(uncached_tokens, 1).bit_length() - 1
             key = max(_MIN_POWER, min(_MAX_POWER, power))
             curves.prefill.record(key, features, seconds)
 
--- a/burdockdrum/passthrough/fleet.py
+++ b/burdockdrum/passthrough/fleet.py
@@ -27,7 +27,7 @@
 from burdockdrum.registrations import Load
 from burdockdrum.registrations import RankLoad
 from burdockdrum.registrations import RegisteredEndpoint
-from burdockdrum.registrations import UNKNOWN_START
+from burdockdrum.registrations import UNKNOWN_INCARNATION
 from burdockdrum.resources import Backend
 from burdockdrum.resources import Route
 from burdockdrum.settings import MechanismSettings
@@ -172,7 +172,7 @@
         waits = [rated.wait.total for rated in rated_endpoints]
         chosen = rated_endpoints[draw(waits, expected_work, self._rng)]
         prefill_cost_tokens = self._rater.prefill_cost_tokens(
-            request, chosen.unread_tokens
+            request, chosen.uncached_tokens
         )
         return replace(chosen, prefill_cost_tokens=prefill_cost_tokens)
 
@@ -331,7 +331,7 @@
             endpoint
             for endpoint in self._read_endpoints().values()
             if endpoint.service == service
-            and not endpoint.leaving
+            and not endpoint.is_draining
             and (endpoint.ends_at is None or endpoint.ends_at > now)
         ]
 
@@ -354,9 +354,12 @@
         self, endpoint: RegisteredEndpoint, backend: Backend
     ) -> bool:
         now = self._clock.monotonic()
-        if endpoint.cold_until > now:
+        if endpoint.slow_start_until > now:
             return True
-        if endpoint.born == UNKNOWN_START or not backend.cold_seconds:
+        if (
+            endpoint.incarnation == UNKNOWN_INCARNATION
+            or not backend.cold_seconds
+        ):
             # A restarted endpoint has a new id and refuses requests for the
             # old one.
             return False
@@ -370,8 +373,8 @@
     def _is_responsive(self, endpoint: RegisteredEndpoint) -> bool:
         """Return whether an endpoint sends heartbeats and responses."""
         state = self._states_by_id.get(endpoint.endpoint_id)
-        if endpoint.silent or state is None:
-            return not endpoint.silent
+        if endpoint.is_unreachable or state is None:
+            return not endpoint.is_unreachable
         now = self._clock.monotonic()
         is_reachable = state.health.is_reachable(now)
         return is_reachable and not self._is_suspect(state, endpoint, now)
--- a/burdockdrum/passthrough/prefix_cache_view.py
+++ b/burdockdrum/passthrough/prefix_cache_view.py
@@ -14,7 +14,7 @@
 from burdockdrum.holdings import PrefixCacheTable
 from burdockdrum.passthrough.prompts import Prompt
 from burdockdrum.passthrough.prompts import PromptPart
-from burdockdrum.registrations import PlacedParts
+from burdockdrum.registrations import PlacedPrefix
 from burdockdrum.vms import choose_by_hash
 
 # The part of an engine's memory that is assumed to cache sent prompts; running
@@ -110,7 +110,7 @@
         )
         self._mark_shared = mark_shared
         self._sent_by_id: dict[str, SentParts] = {}
-        self._pending_notices: list[PlacedParts] = []
+        self._pending_notices: list[PlacedPrefix] = []
 
     def record_sent(
         self, endpoint_id: str, prompt: Prompt, memory_tokens: int
@@ -123,19 +123,19 @@
         )
         sent = self._find_or_add_sent(endpoint_id, memory_tokens)
         sent.note(prompt.parts, self._read_now())
-        self._note_shared_parts((part.part_id, part.tokens) for part in shared)
+        self._mark_shared_parts((part.part_id, part.tokens) for part in shared)
         if not is_new or prompt.shared_tokens < MIN_REPORTED_TOKENS:
             return
         if len(self._pending_notices) < MAX_PENDING_NOTICES:
             parts = [(part.part_id, part.tokens) for part in shared]
-            self._pending_notices.append(PlacedParts(endpoint_id, parts))
+            self._pending_notices.append(PlacedPrefix(endpoint_id, parts))
 
-    def pop_notices(self) -> list[PlacedParts]:
+    def pop_notices(self) -> list[PlacedPrefix]:
         """Return and clear the notices for other entries."""
         notices, self._pending_notices = self._pending_notices, []
         return notices
 
-    def record_notices(self, placed: list[PlacedParts]) -> None:
+    def record_notices(self, placed: list[PlacedPrefix]) -> None:
         """Record the prompt parts that another entry sent to endpoints."""
         now = self._read_now()
         for notice in placed:
@@ -149,7 +149,7 @@
                 ),
                 now,
             )
-            self._note_shared_parts(notice.parts)
+            self._mark_shared_parts(notice.parts)
 
     def cached_tokens(self, endpoint_id: str, prompt: Prompt) -> int:
         """Return the length in tokens of a prompt's cached prefix."""
@@ -257,7 +257,7 @@
             skipped = 0
         return total
 
-    def _note_shared_parts(self, parts: Iterable[tuple[str, int]]) -> None:
+    def _mark_shared_parts(self, parts: Iterable[tuple[str, int]]) -> None:
         for part_id, tokens in parts:
             if tokens >= MIN_REPORTED_TOKENS:
                 self._mark_shared(part_id)
--- a/burdockdrum/passthrough/region_rating.py
+++ b/burdockdrum/passthrough/region_rating.py
@@ -17,7 +17,7 @@
 from burdockdrum.passthrough.wait_estimates import RECENT_WINDOW_SECONDS
 from burdockdrum.ports import Clock
 from burdockdrum.registrations import Load
-from burdockdrum.registrations import ServiceRoom
+from burdockdrum.registrations import ServiceCapacity
 from burdockdrum.settings import MechanismSettings
 
 
@@ -33,7 +33,7 @@
         clock: Clock,
         fleet: Fleet,
         region: str,
-        read_capacities: Callable[[], list[ServiceRoom]],
+        read_capacities: Callable[[], list[ServiceCapacity]],
         mechanisms: MechanismSettings,
         crossing_seconds: float,
     ) -> None:
@@ -65,7 +65,7 @@
         self,
         request: ProxiedRequest,
         progress: RequestProgress,
-        candidate: ServiceRoom,
+        candidate: ServiceCapacity,
     ) -> bool:
         homes = request.route.homes
         return (
@@ -77,9 +77,9 @@
         )
 
     def _estimate(
-        self, request: ProxiedRequest, candidate: ServiceRoom
+        self, request: ProxiedRequest, candidate: ServiceCapacity
     ) -> ExpectedWait:
-        load = Load.of(candidate.ranks).times(1 / candidate.endpoints)
+        load = Load.from_ranks(candidate.ranks).scaled(1 / candidate.endpoints)
         service = candidate.service
         prefill_token_seconds = self._fleet.engines.prefill_token_seconds(
             service
@@ -129,10 +129,10 @@
         """
         engines = self._fleet.engines
         service, prompt = request.backend.name, request.prompt
-        unread, fetch = self._fleet.prefixes.estimate_in_region(
+        uncached, fetch = self._fleet.prefixes.estimate_in_region(
             request.backend, prompt, region, request.route.homes
         )
-        prefill = engines.prefill_seconds(service, prompt, unread)
+        prefill = engines.prefill_seconds(service, prompt, uncached)
         fetching = engines.fetch_seconds(service, fetch)
         full_prefill = engines.prefill_seconds(service, prompt, prompt.tokens)
         return engines.first_token_seconds(service) + min(
--- a/burdockdrum/passthrough/request_log.py
+++ b/burdockdrum/passthrough/request_log.py
@@ -90,7 +90,7 @@
                 "expected_wait": _round(choice.wait.total),
                 "expected_queue": _round(choice.wait.queue),
                 "expected_own": _round(choice.wait.service_time),
-                "unread_tokens": choice.unread_tokens,
+                "unread_tokens": choice.uncached_tokens,
                 "fetch_from": choice.fetch_from,
             }
         case RegionTarget(vm_id=vm_id):
--- a/burdockdrum/passthrough/request_timings.py
+++ b/burdockdrum/passthrough/request_timings.py
@@ -58,8 +58,8 @@
             choice.prefill_share,
             now - in_flight_request.began_at - wait.queue - wait.service_time,
         )
-        unread = choice.unread_tokens
-        if choice.queued_tokens > unread * MAX_QUEUED_FRACTION:
+        uncached = choice.uncached_tokens
+        if choice.queued_tokens > uncached * MAX_QUEUED_FRACTION:
             return
         service = choice.endpoint.service
         seconds = max(
@@ -70,7 +70,7 @@
                 service,
                 choice.endpoint.endpoint_id,
                 in_flight_request.prompt,
-                unread,
+                uncached,
                 seconds,
             )
             return
--- a/burdockdrum/passthrough/server.py
+++ b/burdockdrum/passthrough/server.py
@@ -54,8 +54,8 @@
 
     def _update(self) -> None:
         self._callers.draining = self._drain.state is not DrainState.SERVING
-        self._fleet.entries = self._registrations.entries_here
-        self._budget.entries = self._registrations.entries_everywhere
+        self._fleet.entries = self._registrations.region_entries
+        self._budget.entries = self._registrations.total_entries
         self._fleet.remove_ended()
         for pool in self._pools:
             pool.prune()
--- a/burdockdrum/passthrough/services.py
+++ b/burdockdrum/passthrough/services.py
@@ -70,8 +70,8 @@
         rng=kernel.find("random", random.Random),
         read_endpoints=lambda: registrations.endpoints_by_id,
         read_load=sharing.load_of,
-        read_unreported_entries=lambda: sharing.unheard,
-        read_load_age=lambda: sharing.lag,
+        read_unreported_entries=lambda: sharing.unreported_entries,
+        read_load_age=lambda: sharing.load_age_seconds,
         drop_endpoint=registrations.drop,
         prefix_cache_table=kernel.find("holdings", PrefixCacheTable),
         mark_shared=kernel.find(
@@ -83,8 +83,8 @@
         crossing_seconds=settings.policy.crossing_seconds_a_megabyte,
     )
     sharing.read_load = fleet.read_own_load
-    sharing.take_placed = fleet.prefix_cache_view.pop_notices
-    sharing.hear_placed = fleet.prefix_cache_view.record_notices
+    sharing.pop_placed = fleet.prefix_cache_view.pop_notices
+    sharing.receive_placed = fleet.prefix_cache_view.record_notices
     return fleet
 
 
@@ -123,7 +123,7 @@
         rng=kernel.find("random", random.Random),
         fleet=kernel.find("fleet", Fleet),
         region=identity.region,
-        read_capacities=lambda: sharing.rooms,
+        read_capacities=lambda: sharing.capacities,
         read_entries=read_entries,
         read_closed_data_centres=lambda: (
             configuration.current.evacuated_data_centres
--- a/burdockdrum/passthrough/target_selection.py
+++ b/burdockdrum/passthrough/target_selection.py
@@ -20,7 +20,7 @@
 from burdockdrum.passthrough.wait_estimates import ExpectedWait
 from burdockdrum.peers import VmIdentity
 from burdockdrum.ports import Clock
-from burdockdrum.registrations import ServiceRoom
+from burdockdrum.registrations import ServiceCapacity
 from burdockdrum.settings import MechanismSettings
 from burdockdrum.verdicts import Refusal
 from burdockdrum.verdicts import RefusalCode
@@ -55,7 +55,7 @@
         rng: random.Random,
         fleet: Fleet,
         region: str,
-        read_capacities: Callable[[], list[ServiceRoom]],
+        read_capacities: Callable[[], list[ServiceCapacity]],
         read_entries: Callable[[], Iterable[VmIdentity]],
         read_closed_data_centres: Callable[[], frozenset[str]],
         hop_address: Callable[[VmIdentity], str],
--- a/burdockdrum/passthrough/wait_estimates.py
+++ b/burdockdrum/passthrough/wait_estimates.py
@@ -96,9 +96,9 @@
     :param counts_arrivals: whether to expect further more urgent requests
     """
     ahead, behind = load.up_to(rank), load.above(rank)
-    unread = ahead.unread_tokens
-    if behind.unread_tokens:
-        unread += behind.unread_tokens / max(1.0, behind.waiting)
+    uncached = ahead.uncached_tokens
+    if behind.uncached_tokens:
+        uncached += behind.uncached_tokens / max(1.0, behind.waiting)
     capacity = 1.0
     if counts_arrivals:
         arriving = load.up_to(rank - 1).recent_tokens * prefill_token_seconds
@@ -107,6 +107,6 @@
         )
     excess = max(0.0, ahead.requests + 1 - slots)
     return (
-        unread * prefill_token_seconds / capacity
+        uncached * prefill_token_seconds / capacity
         + excess * run_seconds / slots
     )
--- a/burdockdrum/registrations/__init__.py
+++ b/burdockdrum/registrations/__init__.py
@@ -5,36 +5,36 @@
 next check-in renews the state anyway, so no consensus is needed.
 """
 
-from burdockdrum.registrations.book import RegistrationBook
 from burdockdrum.registrations.follower import RegistrationFollower
+from burdockdrum.registrations.incarnations import make_incarnation_id
+from burdockdrum.registrations.incarnations import UNKNOWN_INCARNATION
 from burdockdrum.registrations.load_sharing import LoadSharing
 from burdockdrum.registrations.loads import Load
 from burdockdrum.registrations.loads import RankLoad
 from burdockdrum.registrations.loads import RankSum
-from burdockdrum.registrations.messages import PlacedParts
+from burdockdrum.registrations.messages import PlacedPrefix
 from burdockdrum.registrations.messages import Registration
 from burdockdrum.registrations.messages import RegistrationState
-from burdockdrum.registrations.messages import ServiceRoom
+from burdockdrum.registrations.messages import ServiceCapacity
 from burdockdrum.registrations.model import RegisteredEndpoint
 from burdockdrum.registrations.publisher import RegistrationPublisher
 from burdockdrum.registrations.services import add_services
-from burdockdrum.registrations.starts import name_start
-from burdockdrum.registrations.starts import UNKNOWN_START
+from burdockdrum.registrations.table import RegistrationTable
 
 __all__ = [
     "add_services",
     "Load",
     "LoadSharing",
-    "name_start",
-    "PlacedParts",
+    "make_incarnation_id",
+    "PlacedPrefix",
     "RankLoad",
     "RankSum",
     "RegisteredEndpoint",
     "Registration",
-    "RegistrationBook",
     "RegistrationFollower",
     "RegistrationPublisher",
     "RegistrationState",
-    "ServiceRoom",
-    "UNKNOWN_START",
+    "RegistrationTable",
+    "ServiceCapacity",
+    "UNKNOWN_INCARNATION",
 ]
--- a/burdockdrum/registrations/follower.py
+++ b/burdockdrum/registrations/follower.py
@@ -15,19 +15,19 @@
 from burdockdrum.peers import Peers
 from burdockdrum.peers import Sender
 from burdockdrum.ports import Clock
+from burdockdrum.registrations.incarnations import LatestIncarnations
+from burdockdrum.registrations.incarnations import UNKNOWN_INCARNATION
 from burdockdrum.registrations.load_sums import LoadById
 from burdockdrum.registrations.loads import Load
 from burdockdrum.registrations.messages import Registration
 from burdockdrum.registrations.messages import RegistrationState
 from burdockdrum.registrations.messages import RegistrationUpdate
-from burdockdrum.registrations.messages import ServiceRoom
+from burdockdrum.registrations.messages import ServiceCapacity
 from burdockdrum.registrations.messages import Watch
 from burdockdrum.registrations.model import RegisteredEndpoint
 from burdockdrum.registrations.pacing import MIN_WATCH_INTERVAL_SECONDS
 from burdockdrum.registrations.pacing import watch_interval
 from burdockdrum.registrations.pacing import WATCH_JITTER_FRACTION
-from burdockdrum.registrations.starts import LatestIncarnations
-from burdockdrum.registrations.starts import UNKNOWN_START
 
 # Registrations from before a control VM's restart stay valid for so long, in
 # which a live endpoint checks in again.
@@ -51,7 +51,7 @@
     endpoints_by_id: dict[str, RegisteredEndpoint] = field(
         default_factory=dict
     )
-    capacities: list[ServiceRoom] = field(default_factory=list)
+    capacities: list[ServiceCapacity] = field(default_factory=list)
     stale_until_by_id: dict[str, float] = field(default_factory=dict)
 
 
@@ -95,14 +95,14 @@
         peers.register(RegistrationUpdate, self._receive_update)
 
     @property
-    def capacities(self) -> list[ServiceRoom]:
+    def capacities(self) -> list[ServiceCapacity]:
         """Return the capacity and load of each service in each region.
 
         A control VM only counts the endpoints that check in there, so the
         recent reports of all control VMs are added up.
         """
         since = self._clock.monotonic() - MAX_CAPACITY_AGE_SECONDS
-        sums: dict[tuple[str, str], ServiceRoom] = {}
+        sums: dict[tuple[str, str], ServiceCapacity] = {}
         for source in self._sources_by_id.values():
             if source.received_at < since:
                 continue
@@ -112,7 +112,7 @@
         return list(sums.values())
 
     @property
-    def entries_here(self) -> int:
+    def region_entries(self) -> int:
         """Return how many entries may be alive here, at least one."""
         return max(
             [
@@ -125,7 +125,7 @@
         )
 
     @property
-    def entries_everywhere(self) -> int:
+    def total_entries(self) -> int:
         """Return how many entries may be alive anywhere, at least one."""
         return max(
             [1, *(total for _, total in self._entry_counts_by_id.values())]
@@ -165,7 +165,7 @@
         jitter = self._rng.uniform(
             1 - WATCH_JITTER_FRACTION, 1 + WATCH_JITTER_FRACTION
         )
-        return watch_interval(self.entries_everywhere) * jitter
+        return watch_interval(self.total_entries) * jitter
 
     def _watch(
         self,
@@ -241,10 +241,10 @@
     ) -> None:
         self._ended_at_by_id[registration.endpoint_id] = now
         source.endpoints_by_id.pop(registration.endpoint_id, None)
-        if registration.born != UNKNOWN_START:
+        if registration.incarnation != UNKNOWN_INCARNATION:
             return
         # The control VM did not know which incarnation ended.
-        name = registration.known_as
+        name = registration.reported_id
         incarnations = self._find_incarnations(name)
         if not incarnations:
             self._unmatched_ends_by_name[name] = now
@@ -252,21 +252,21 @@
             self._end_incarnation(endpoint.endpoint_id, now)
 
     def _is_current(self, registration: Registration, now: float) -> bool:
-        name, born = registration.known_as, registration.born
-        if self._incarnations.is_outdated(name, born):
+        name, incarnation = registration.reported_id, registration.incarnation
+        if self._incarnations.is_outdated(name, incarnation):
             return False
         if self._unmatched_ends_by_name.pop(name, None) is None:
             return True
         # Another control VM already reported the end of this endpoint.
-        self._incarnations.observe(name, born)
+        self._incarnations.observe(name, incarnation)
         self._ended_at_by_id[registration.endpoint_id] = now
         return False
 
     def _observe_incarnation(
         self, registration: Registration, now: float
     ) -> None:
-        name = registration.known_as
-        if not self._incarnations.observe(name, registration.born):
+        name = registration.reported_id
+        if not self._incarnations.observe(name, registration.incarnation):
             return
         for previous in self._find_incarnations(name):
             if previous.endpoint_id == registration.endpoint_id:
@@ -276,8 +276,8 @@
                 "endpoint.restarted",
                 endpoint_id=registration.endpoint_id,
                 former_id=previous.endpoint_id,
-                born=registration.born,
-                former_born=previous.born,
+                born=registration.incarnation,
+                former_born=previous.incarnation,
             )
             for listener in self.restart_listeners:
                 listener(previous.endpoint_id)
@@ -286,7 +286,7 @@
         return [
             endpoint
             for endpoint in self.endpoints_by_id.values()
-            if endpoint.known_as == name
+            if endpoint.reported_id == name
         ]
 
     def _end_incarnation(self, endpoint_id: str, now: float) -> None:
@@ -311,8 +311,10 @@
         if not copies or endpoint_id in self._ended_at_by_id:
             return None
         # Unreachable at one control VM, it may check in at another.
-        reachable = [copy for copy in copies if not copy.silent] or copies
-        draining = [copy for copy in copies if copy.leaving]
+        reachable = [
+            copy for copy in copies if not copy.is_unreachable
+        ] or copies
+        draining = [copy for copy in copies if copy.is_draining]
         return max(draining or reachable, key=lambda copy: copy.sequence)
 
     def _log(
@@ -349,7 +351,7 @@
 
     def _forget_incarnations(self) -> None:
         endpoints = self.endpoints_by_id.values()
-        self._incarnations.retain({e.known_as for e in endpoints})
+        self._incarnations.retain({e.reported_id for e in endpoints})
 
     def _notify_listeners(self) -> None:
         for listener in self.listeners:
@@ -368,10 +370,10 @@
         slots=registration.slots,
         sequence=registration.sequence,
         state=registration.state,
-        cold_until=now + registration.cold_seconds,
+        slow_start_until=now + registration.slow_start_seconds,
         ends_at=None if left is None else now + left,
         name=registration.name,
-        born=registration.born,
+        incarnation=registration.incarnation,
     )
 
 
@@ -382,12 +384,12 @@
 
 
 def _add_capacities(
-    first: ServiceRoom | None, second: ServiceRoom
-) -> ServiceRoom:
+    first: ServiceCapacity | None, second: ServiceCapacity
+) -> ServiceCapacity:
     if first is None:
         return second
-    load = Load.of([*first.ranks, *second.ranks])
-    return ServiceRoom(
+    load = Load.from_ranks([*first.ranks, *second.ranks])
+    return ServiceCapacity(
         first.region,
         first.service,
         first.endpoints + second.endpoints,
--- a/burdockdrum/registrations/starts.py
+++ b/burdockdrum/registrations/incarnations.py
@@ -10,16 +10,18 @@
 from collections.abc import Container
 
 # For endpoints that report no start time; these change their id on a restart.
-UNKNOWN_START = 0
+UNKNOWN_INCARNATION = 0
 
 
-def name_start(name: str, born: int) -> str:
+def make_incarnation_id(name: str, incarnation: int) -> str:
     """Return the id of one incarnation of an endpoint.
 
     :param name: the id that the endpoint reports
-    :param born: its start time, in milliseconds of its own clock
+    :param incarnation: its start time, in milliseconds of its own clock
     """
-    return name if born == UNKNOWN_START else f"{name}@{born}"
+    return (
+        name if incarnation == UNKNOWN_INCARNATION else f"{name}@{incarnation}"
+    )
 
 
 class LatestIncarnations:
@@ -27,28 +29,30 @@
 
     def __init__(self) -> None:
         """Create an empty table."""
-        self._born_by_name: dict[str, int] = {}
+        self._incarnation_by_name: dict[str, int] = {}
 
-    def is_outdated(self, name: str, born: int) -> bool:
+    def is_outdated(self, name: str, incarnation: int) -> bool:
         """Return whether a newer incarnation of the endpoint is known.
 
         One without a start time counts as older than any with one.
         """
-        return born < self._born_by_name.get(name, UNKNOWN_START)
+        return incarnation < self._incarnation_by_name.get(
+            name, UNKNOWN_INCARNATION
+        )
 
-    def observe(self, name: str, born: int) -> bool:
+    def observe(self, name: str, incarnation: int) -> bool:
         """Record an incarnation if it is the latest.
 
         :returns: whether it replaces a known one
         """
-        known = self._born_by_name.get(name)
-        if known is not None and born <= known:
+        known = self._incarnation_by_name.get(name)
+        if known is not None and incarnation <= known:
             return False
-        self._born_by_name[name] = born
+        self._incarnation_by_name[name] = incarnation
         return known is not None
 
     def retain(self, names: Container[str]) -> None:
         """Remove all endpoints but those named."""
-        for name in list(self._born_by_name):
+        for name in list(self._incarnation_by_name):
             if name not in names:
-                del self._born_by_name[name]
+                del self._incarnation_by_name[name]
--- a/burdockdrum/registrations/load_sharing.py
+++ b/burdockdrum/registrations/load_sharing.py
@@ -26,19 +26,19 @@
 from burdockdrum.registrations.loads import Load
 from burdockdrum.registrations.messages import DataCentreLoad
 from burdockdrum.registrations.messages import LoadReport
-from burdockdrum.registrations.messages import PlacedParts
+from burdockdrum.registrations.messages import PlacedPrefix
 from burdockdrum.registrations.messages import RegionLoad
-from burdockdrum.registrations.messages import ServiceRoom
-from burdockdrum.registrations.placed_parts import PlacementLog
+from burdockdrum.registrations.messages import ServiceCapacity
+from burdockdrum.registrations.placement_log import PlacementLog
 from burdockdrum.vms import FarKeepers
 from burdockdrum.vms import KeeperChoice
 
-SEND_INTERVAL_SECONDS = 0.1
+REPORT_INTERVAL_SECONDS = 0.1
 # With more other entries, an aggregator needs fewer messages.
 MAX_DIRECT_PEERS = 4
 # Limits an aggregator to 40 reports a second, whatever the number of entries.
-INTERVAL_PER_ENTRY_SECONDS = 0.025
-DATA_CENTRE_INTERVAL_SECONDS = 0.25
+REPORT_INTERVAL_PER_ENTRY_SECONDS = 0.025
+BROADCAST_INTERVAL_SECONDS = 0.25
 # Unchanged loads are resent before the receivers expire them.
 RESEND_INTERVAL_SECONDS = 0.5
 MAX_AGE_SECONDS = 1.5
@@ -55,7 +55,7 @@
         read_entries: Callable[[], Iterable[VmIdentity]],
         read_draining: Callable[[], bool] = bool,
         read_load: Callable[[], LoadById] = dict,
-        read_capacities: Callable[[], list[ServiceRoom]] = list,
+        read_capacities: Callable[[], list[ServiceCapacity]] = list,
     ) -> None:
         """Register the message handlers; sending starts with ``run``.
 
@@ -66,8 +66,8 @@
             control VMs reported to this VM
         """
         self.read_load = read_load
-        self.take_placed: Callable[[], list[PlacedParts]] = list
-        self.hear_placed: Callable[[list[PlacedParts]], None] = _ignore
+        self.pop_placed: Callable[[], list[PlacedPrefix]] = list
+        self.receive_placed: Callable[[list[PlacedPrefix]], None] = _ignore
         self._own = peers.identity
         self._peers = peers
         self._clock = clock
@@ -78,7 +78,7 @@
         self._aggregator: VmIdentity | None = None
         # The number of sources that this entry expects reports from.
         self._expected_sources = 0
-        self._interval = SEND_INTERVAL_SECONDS
+        self._interval = REPORT_INTERVAL_SECONDS
         self._reply_received_at = float("-inf")
         self._remote_aggregators = FarKeepers(
             own=self._own, keep_seconds=MAX_AGE_SECONDS
@@ -89,7 +89,7 @@
         self._placements = PlacementLog()
         self._sent_load: LoadById = {}
         self._sent_at = float("-inf")
-        self._capacities: list[ServiceRoom] = []
+        self._capacities: list[ServiceCapacity] = []
         peers.register(LoadReport, self._receive_report)
         peers.register(RegionLoad, self._receive_region_load)
         peers.register(DataCentreLoad, self._receive_data_centre_load)
@@ -100,7 +100,7 @@
         return self._aggregator == self._own
 
     @property
-    def rooms(self) -> list[ServiceRoom]:
+    def capacities(self) -> list[ServiceCapacity]:
         """Return the capacity and load of each region, as last received."""
         if (
             self._clock.monotonic() - self._reply_received_at
@@ -110,7 +110,7 @@
         return self._read_capacities()
 
     @property
-    def lag(self) -> float:
+    def load_age_seconds(self) -> float:
         """Return the average age of the other entries' loads, in seconds.
 
         It is the time since the aggregator's last reply, and half an interval
@@ -119,14 +119,14 @@
         if not self._expected_sources:
             return 0.0
         if self._aggregator is None:
-            return SEND_INTERVAL_SECONDS
+            return REPORT_INTERVAL_SECONDS
         if self.is_aggregator:
             return self._interval
         age = self._clock.monotonic() - self._reply_received_at
         return min(MAX_AGE_SECONDS, age + self._interval / 2)
 
     @property
-    def unheard(self) -> int:
+    def unreported_entries(self) -> int:
         """Return how many entries of this region have no current report.
 
         They are assumed to send what this entry sends. Otherwise, after a
@@ -176,13 +176,13 @@
             self._send_report(
                 [e.control_address for e in others], now, wants_reply=False
             )
-            return SEND_INTERVAL_SECONDS
+            return REPORT_INTERVAL_SECONDS
         neighbours = sum(self._is_neighbour(entry) for entry in others)
-        interval = INTERVAL_PER_ENTRY_SECONDS * (neighbours + 1)
-        self._interval = max(SEND_INTERVAL_SECONDS, interval)
+        interval = REPORT_INTERVAL_PER_ENTRY_SECONDS * (neighbours + 1)
+        self._interval = max(REPORT_INTERVAL_SECONDS, interval)
         if self.is_aggregator:
             self._send_to_data_centres(others, now)
-            return DATA_CENTRE_INTERVAL_SECONDS
+            return BROADCAST_INTERVAL_SECONDS
         if self._send_report(
             [self._aggregator.control_address], now, wants_reply=True
         ):
@@ -223,7 +223,7 @@
         self, addresses: list[str], now: float, *, wants_reply: bool
     ) -> bool:
         load = self.read_load()
-        placed = self.take_placed()
+        placed = self.pop_placed()
         is_unchanged = load == self._sent_load and not placed
         if (
             is_unchanged
@@ -242,7 +242,7 @@
     def _send_to_data_centres(
         self, others: list[VmIdentity], now: float
     ) -> None:
-        self._placements.add(self._own.vm_id, self.take_placed())
+        self._placements.add(self._own.vm_id, self.pop_placed())
         address_by_data_centre = self._remote_aggregators.find_all(others, now)
         load = encode_loads(self._sum_local())
         remote_sources = frozenset(
@@ -276,7 +276,7 @@
             self._local_loads.drop(self._reply_source)
             self._reply_source = None
         self._local_loads.put(sender.vm_id, message.load_by_id, now)
-        self.hear_placed(message.placed)
+        self.receive_placed(message.placed)
         self._placements.add(sender.vm_id, message.placed)
         if message.wants_reply:
             self._peers.send(sender.address, self._make_reply(sender.vm_id))
@@ -292,11 +292,11 @@
             requester
         ).items():
             loads_by_id[endpoint_id].subtract(load)
-        self._placements.add(self._own.vm_id, self.take_placed())
+        self._placements.add(self._own.vm_id, self.pop_placed())
         return RegionLoad(
             load_by_id=encode_loads(loads_by_id),
             placed=self._placements.read_unsent(requester),
-            capacities=self.rooms,
+            capacities=self.capacities,
         )
 
     async def _receive_region_load(
@@ -311,7 +311,7 @@
         self._reply_source = sender.vm_id
         self._remote_loads.prune(float("inf"))
         self._capacities, self._reply_received_at = message.capacities, now
-        self.hear_placed(message.placed)
+        self.receive_placed(message.placed)
         return None
 
     async def _receive_data_centre_load(
@@ -331,7 +331,7 @@
             message.data_centre, message.aggregator_address, now
         )
         self._remote_loads.put(source, message.load_by_id, now)
-        self.hear_placed(message.placed)
+        self.receive_placed(message.placed)
         self._placements.add(source, message.placed)
         return None
 
@@ -341,5 +341,5 @@
     return f"data_centre:{name}"
 
 
-def _ignore(placed: list[PlacedParts]) -> None:
+def _ignore(placed: list[PlacedPrefix]) -> None:
     """Ignore placements; the default handler."""
--- a/burdockdrum/registrations/load_sums.py
+++ b/burdockdrum/registrations/load_sums.py
@@ -99,7 +99,7 @@
 
 def decode_loads(load_by_id: LoadById) -> dict[str, Load]:
     """Convert loads from their form in messages."""
-    return {name: Load.of(ranks) for name, ranks in load_by_id.items()}
+    return {name: Load.from_ranks(ranks) for name, ranks in load_by_id.items()}
 
 
 def encode_loads(loads_by_id: Mapping[str, Load]) -> LoadById:
--- a/burdockdrum/registrations/loads.py
+++ b/burdockdrum/registrations/loads.py
@@ -15,14 +15,14 @@
 class RankLoad(msgspec.Struct, frozen=True, array_like=True):
     """The load of one rank in messages; rank 0 is the most urgent.
 
-    ``unread_tokens`` are the prompt tokens not yet processed;
+    ``uncached_tokens`` are the prompt tokens not yet processed;
     ``recent_tokens`` those sent in the last seconds, processed or not.
     ``waiting`` requests have not returned a first byte yet.
     """
 
     rank: int
     requests: int
-    unread_tokens: int
+    uncached_tokens: int
     recent_tokens: int = 0
     waiting: int = 0
 
@@ -33,7 +33,7 @@
 
     requests: float = 0
     waiting: float = 0
-    unread_tokens: float = 0.0
+    uncached_tokens: float = 0.0
     recent_tokens: float = 0.0
 
     def add(self, other: "RankSum", factor: float = 1) -> None:
@@ -41,13 +41,13 @@
         if factor >= 0:
             self.requests += other.requests * factor
             self.waiting += other.waiting * factor
-            self.unread_tokens += other.unread_tokens * factor
+            self.uncached_tokens += other.uncached_tokens * factor
             self.recent_tokens += other.recent_tokens * factor
             return
         self.requests = max(0, self.requests + other.requests * factor)
         self.waiting = max(0, self.waiting + other.waiting * factor)
-        unread = self.unread_tokens + other.unread_tokens * factor
-        self.unread_tokens = max(0.0, unread)
+        uncached = self.uncached_tokens + other.uncached_tokens * factor
+        self.uncached_tokens = max(0.0, uncached)
         recent = self.recent_tokens + other.recent_tokens * factor
         self.recent_tokens = max(0.0, recent)
 
@@ -59,7 +59,7 @@
     sums_by_rank: dict[int, RankSum] = field(default_factory=dict)
 
     @classmethod
-    def of(cls, ranks: Iterable[RankLoad]) -> "Load":
+    def from_ranks(cls, ranks: Iterable[RankLoad]) -> "Load":
         """Return the load of several ranks."""
         load = cls()
         for rank in ranks:
@@ -68,7 +68,7 @@
                 RankSum(
                     requests=rank.requests,
                     waiting=rank.waiting,
-                    unread_tokens=rank.unread_tokens,
+                    uncached_tokens=rank.uncached_tokens,
                     recent_tokens=rank.recent_tokens,
                 ),
             )
@@ -80,9 +80,9 @@
         return sum(part.requests for part in self.sums_by_rank.values())
 
     @property
-    def unread_tokens(self) -> float:
+    def uncached_tokens(self) -> float:
         """Return the unprocessed prompt tokens of all ranks."""
-        return sum(part.unread_tokens for part in self.sums_by_rank.values())
+        return sum(part.uncached_tokens for part in self.sums_by_rank.values())
 
     @property
     def recent_tokens(self) -> float:
@@ -110,7 +110,7 @@
         for rank, part in other.sums_by_rank.items():
             self.add(rank, part, -1)
 
-    def times(self, number: float) -> "Load":
+    def scaled(self, number: float) -> "Load":
         """Return this load times a number."""
         load = Load()
         for rank, part in self.sums_by_rank.items():
@@ -135,7 +135,7 @@
             RankLoad(
                 rank,
                 round(part.requests),
-                round(part.unread_tokens),
+                round(part.uncached_tokens),
                 round(part.recent_tokens),
                 round(part.waiting),
             )
--- a/burdockdrum/registrations/messages.py
+++ b/burdockdrum/registrations/messages.py
@@ -10,21 +10,21 @@
 import msgspec
 
 from burdockdrum.peers import Message
+from burdockdrum.registrations.incarnations import UNKNOWN_INCARNATION
 from burdockdrum.registrations.loads import RankLoad
-from burdockdrum.registrations.starts import UNKNOWN_START
 
 
 class RegistrationState(enum.Enum):
     """The state of one incarnation of an endpoint.
 
-    ``LEAVING`` endpoints are draining. ``SILENT`` ones are unreachable for a
-    control VM, but may still serve: only their check-ins may be lost.
+    ``UNREACHABLE`` endpoints have stopped checking in at a control VM, but may
+    still serve: only their check-ins may be lost.
     ``EXPIRED`` ones are no longer known to a control VM. ``GONE`` is final.
     """
 
     READY = "ready"
-    LEAVING = "leaving"
-    SILENT = "silent"
+    DRAINING = "leaving"
+    UNREACHABLE = "silent"
     GONE = "gone"
     EXPIRED = "forgotten"
 
@@ -32,12 +32,12 @@
 class Registration(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
     """A check-in of one incarnation of an endpoint.
 
-    ``endpoint_id`` differs for each incarnation (see ``starts``); ``name``
-    is the id that the endpoint reports, and ``born`` its start time in
-    milliseconds of its own clock, 0 if unknown. ``sequence`` counts the
-    check-ins of this incarnation. ``cold_seconds`` is the remaining slow
-    start and ``seconds_left`` the time until the endpoint is removed, None if
-    not planned; both count from when the message was sent.
+    ``endpoint_id`` differs for each incarnation (see ``incarnations``);
+    ``name`` is the id that the endpoint reports, and ``incarnation`` its
+    start time in milliseconds of its own clock, 0 if unknown. ``sequence``
+    counts the check-ins of this incarnation. ``slow_start_seconds`` is the
+    remaining slow start and ``seconds_left`` the time until the endpoint is
+    removed, None if not planned; both count from when the message was sent.
     """
 
     endpoint_id: str
@@ -47,18 +47,18 @@
     slots: int
     sequence: int
     state: RegistrationState
-    cold_seconds: float = 0.0
+    slow_start_seconds: float = 0.0
     seconds_left: float | None = None
     name: str = ""
-    born: int = UNKNOWN_START
+    incarnation: int = UNKNOWN_INCARNATION
 
     @property
-    def known_as(self) -> str:
+    def reported_id(self) -> str:
         """Return the id that the endpoint reports, over all incarnations."""
         return self.name or self.endpoint_id
 
 
-class ServiceRoom(msgspec.Struct, frozen=True, array_like=True):
+class ServiceCapacity(msgspec.Struct, frozen=True, array_like=True):
     """The capacity and load of a service's endpoints in one region."""
 
     region: str
@@ -84,7 +84,7 @@
     is_acknowledgement: bool = False
 
 
-class PlacedParts(msgspec.Struct, frozen=True, array_like=True):
+class PlacedPrefix(msgspec.Struct, frozen=True, array_like=True):
     """The prefix of a prompt that was sent to an endpoint.
 
     ``parts`` are the ids and tokens of its shared parts, in order.
@@ -104,7 +104,7 @@
     wire_kind: ClassVar[str | None] = "registrations.LoadNotice"
 
     load_by_id: dict[str, list[RankLoad]]
-    placed: list[PlacedParts] = []
+    placed: list[PlacedPrefix] = []
     wants_reply: bool = False
 
 
@@ -116,8 +116,8 @@
     """
 
     load_by_id: dict[str, list[RankLoad]]
-    placed: list[PlacedParts] = []
-    capacities: list[ServiceRoom] = []
+    placed: list[PlacedPrefix] = []
+    capacities: list[ServiceCapacity] = []
 
 
 class DataCentreLoad(Message, frozen=True, kw_only=True, array_like=True):
@@ -131,7 +131,7 @@
     data_centre: str
     aggregator_address: str
     load_by_id: dict[str, list[RankLoad]]
-    placed: list[PlacedParts] = []
+    placed: list[PlacedPrefix] = []
     is_forwarded: bool = False
 
 
@@ -150,7 +150,7 @@
     base_serial: int
     serial: int
     registrations: list[Registration] = []
-    capacities: list[ServiceRoom] | None = None
+    capacities: list[ServiceCapacity] | None = None
     region_entries: int = 0
     total_entries: int = 0
     revision: int = 0
--- a/burdockdrum/registrations/model.py
+++ b/burdockdrum/registrations/model.py
@@ -2,18 +2,18 @@
 
 from dataclasses import dataclass
 
+from burdockdrum.registrations.incarnations import UNKNOWN_INCARNATION
 from burdockdrum.registrations.messages import RegistrationState
-from burdockdrum.registrations.starts import UNKNOWN_START
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RegisteredEndpoint:
     """One incarnation of an endpoint.
 
-    Times are on this VM's monotonic clock: ``cold_until`` is the end of the
-    slow start and ``ends_at`` the planned removal, None if there is none.
+    Times are on this VM's monotonic clock: ``slow_start_until`` is the end of
+    the slow start and ``ends_at`` the planned removal, None if there is none.
     ``name`` is the id that the endpoint reports, over all incarnations;
-    ``born`` is its start time by its own clock, 0 if unknown.
+    ``incarnation`` is its start time by its own clock, 0 if unknown.
     """
 
     endpoint_id: str
@@ -23,22 +23,22 @@
     slots: int
     sequence: int
     state: RegistrationState
-    cold_until: float
+    slow_start_until: float
     ends_at: float | None
     name: str = ""
-    born: int = UNKNOWN_START
+    incarnation: int = UNKNOWN_INCARNATION
 
     @property
-    def known_as(self) -> str:
+    def reported_id(self) -> str:
         """Return the id that the endpoint reports, over all incarnations."""
         return self.name or self.endpoint_id
 
     @property
-    def leaving(self) -> bool:
+    def is_draining(self) -> bool:
         """Return whether it is draining and accepts no new requests."""
-        return self.state is RegistrationState.LEAVING
+        return self.state is RegistrationState.DRAINING
 
     @property
-    def silent(self) -> bool:
+    def is_unreachable(self) -> bool:
         """Return whether its check-ins have stopped at all control VMs."""
-        return self.state is RegistrationState.SILENT
+        return self.state is RegistrationState.UNREACHABLE
--- a/burdockdrum/registrations/placed_parts.py
+++ b/burdockdrum/registrations/placement_log.py
@@ -6,7 +6,7 @@
 import collections
 from collections.abc import Iterable
 
-from burdockdrum.registrations.messages import PlacedParts
+from burdockdrum.registrations.messages import PlacedPrefix
 
 # More than a data centre adds before loads expire; a receiver that is further
 # behind misses the oldest.
@@ -19,12 +19,12 @@
     def __init__(self) -> None:
         """Create an empty log."""
         self._serial = 0
-        self._placements: collections.deque[tuple[int, str, PlacedParts]] = (
+        self._placements: collections.deque[tuple[int, str, PlacedPrefix]] = (
             collections.deque(maxlen=MAX_PLACEMENTS)
         )
         self._sent_serial_by_receiver: dict[str, int] = {}
 
-    def add(self, source: str, placements: Iterable[PlacedParts]) -> None:
+    def add(self, source: str, placements: Iterable[PlacedPrefix]) -> None:
         """Append the placements that a source reported."""
         for placement in placements:
             self._serial += 1
@@ -32,7 +32,7 @@
 
     def read_unsent(
         self, receiver: str, *, excluded_sources: frozenset[str] = frozenset()
-    ) -> list[PlacedParts]:
+    ) -> list[PlacedPrefix]:
         """Return the placements not yet sent to a receiver; mark them sent.
 
         Those reported by the receiver itself or by ``excluded_sources`` are
--- a/burdockdrum/registrations/publisher.py
+++ b/burdockdrum/registrations/publisher.py
@@ -13,15 +13,15 @@
 from burdockdrum.peers import Peers
 from burdockdrum.peers import Sender
 from burdockdrum.ports import Clock
-from burdockdrum.registrations.book import ANY_DATA_CENTRE
-from burdockdrum.registrations.book import RegistrationBook
 from burdockdrum.registrations.loads import Load
 from burdockdrum.registrations.loads import RankLoad
 from burdockdrum.registrations.messages import Registration
 from burdockdrum.registrations.messages import RegistrationUpdate
-from burdockdrum.registrations.messages import ServiceRoom
+from burdockdrum.registrations.messages import ServiceCapacity
 from burdockdrum.registrations.messages import Watch
 from burdockdrum.registrations.pacing import liveness_timeout
+from burdockdrum.registrations.table import ANY_DATA_CENTRE
+from burdockdrum.registrations.table import RegistrationTable
 
 PRUNE_INTERVAL_SECONDS = 0.5
 # Longer than a round trip between regions and a TCP retransmission together,
@@ -67,7 +67,7 @@
         *,
         peers: Peers,
         clock: Clock,
-        table: RegistrationBook,
+        table: RegistrationTable,
         regions_by_data_centre: Mapping[str, str],
         read_revision: Callable[[], int],
     ) -> None:
@@ -180,10 +180,10 @@
         )
         self._peers.send(watcher.address, message)
 
-    def _sum_capacities(self) -> list[ServiceRoom]:
+    def _sum_capacities(self) -> list[ServiceCapacity]:
         loads_by_id = self._sum_loads()
         sums: dict[tuple[str, str], tuple[int, int, Load]] = {}
-        for registration in self._table.live():
+        for registration in self._table.ready():
             region = self._regions_by_data_centre.get(registration.data_centre)
             if region is None:
                 continue
@@ -194,7 +194,7 @@
                 load.merge(own)
             sums[key] = (endpoints + 1, slots + registration.slots, load)
         return [
-            ServiceRoom(region, service, endpoints, slots, load.ranks())
+            ServiceCapacity(region, service, endpoints, slots, load.ranks())
             for (region, service), (endpoints, slots, load) in sums.items()
         ]
 
@@ -206,7 +206,7 @@
                 continue
             for endpoint_id, ranks in watcher.load_by_id.items():
                 load = sums.setdefault(endpoint_id, Load())
-                load.merge(Load.of(ranks))
+                load.merge(Load.from_ranks(ranks))
         return sums
 
     def _forget_watchers(self, now: float) -> None:
--- a/burdockdrum/registrations/services.py
+++ b/burdockdrum/registrations/services.py
@@ -8,11 +8,11 @@
 from burdockdrum.peers import VmIdentity
 from burdockdrum.ports import Clock
 from burdockdrum.ports import Disk
-from burdockdrum.registrations.book import RegistrationBook
 from burdockdrum.registrations.follower import RegistrationFollower
 from burdockdrum.registrations.load_sharing import LoadSharing
 from burdockdrum.registrations.publisher import RegistrationPublisher
 from burdockdrum.registrations.store import RegistrationStore
+from burdockdrum.registrations.table import RegistrationTable
 from burdockdrum.settings import Settings
 from burdockdrum.vms import VmDirectory
 
@@ -28,15 +28,15 @@
         kernel.add("load_sharing", _build_load_sharing)
 
 
-def _build_table(kernel: Kernel) -> RegistrationBook:
-    return RegistrationBook(clock=kernel.find("clock", Clock))
+def _build_table(kernel: Kernel) -> RegistrationTable:
+    return RegistrationTable(clock=kernel.find("clock", Clock))
 
 
 def _build_store(kernel: Kernel) -> RegistrationStore:
     return RegistrationStore(
         clock=kernel.find("clock", Clock),
         disk=kernel.find("disk", Disk),
-        table=kernel.find("registration_book", RegistrationBook),
+        table=kernel.find("registration_book", RegistrationTable),
     )
 
 
@@ -46,7 +46,7 @@
     return RegistrationPublisher(
         peers=kernel.find("peers", Peers),
         clock=kernel.find("clock", Clock),
-        table=kernel.find("registration_book", RegistrationBook),
+        table=kernel.find("registration_book", RegistrationTable),
         regions_by_data_centre=settings.topology.regions_by_data_centre,
         read_revision=lambda: configuration.current.revision,
     )
--- a/burdockdrum/registrations/store.py
+++ b/burdockdrum/registrations/store.py
@@ -13,8 +13,8 @@
 from burdockdrum.ports import Clock
 from burdockdrum.ports import Disk
 from burdockdrum.ports import DiskError
-from burdockdrum.registrations.book import RegistrationBook
 from burdockdrum.registrations.messages import Registration
+from burdockdrum.registrations.table import RegistrationTable
 
 # Check-ins without a change cause no write.
 WRITE_INTERVAL_SECONDS = 0.25
@@ -37,7 +37,7 @@
     """Stores a control VM's registrations in a file."""
 
     def __init__(
-        self, *, clock: Clock, disk: Disk, table: RegistrationBook
+        self, *, clock: Clock, disk: Disk, table: RegistrationTable
     ) -> None:
         """Create a store for a table that is still empty."""
         self._clock = clock
--- a/burdockdrum/registrations/book.py
+++ b/burdockdrum/registrations/table.py
@@ -12,11 +12,11 @@
 import msgspec
 
 from burdockdrum.ports import Clock
+from burdockdrum.registrations.incarnations import LatestIncarnations
+from burdockdrum.registrations.incarnations import make_incarnation_id
+from burdockdrum.registrations.incarnations import UNKNOWN_INCARNATION
 from burdockdrum.registrations.messages import Registration
 from burdockdrum.registrations.messages import RegistrationState
-from burdockdrum.registrations.starts import LatestIncarnations
-from burdockdrum.registrations.starts import name_start
-from burdockdrum.registrations.starts import UNKNOWN_START
 
 # Endpoints check in every 1.2 s, and a check-in may be seconds late.
 CHECK_IN_TIMEOUT_SECONDS = 4.5
@@ -37,7 +37,7 @@
     changed_at: float
 
 
-class RegistrationBook:
+class RegistrationTable:
     """The registrations by endpoint id; each change gets a new serial."""
 
     def __init__(self, *, clock: Clock) -> None:
@@ -49,20 +49,20 @@
         self._newest_id_by_address: dict[str, str] = {}
         self._incarnations = LatestIncarnations()
 
-    def take(self, registration: Registration) -> bool:
+    def apply(self, registration: Registration) -> bool:
         """Apply a check-in.
 
         :returns: False if it is outdated and was ignored
         """
-        name, born = registration.known_as, registration.born
-        if self._incarnations.is_outdated(name, born):
+        name, incarnation = registration.reported_id, registration.incarnation
+        if self._incarnations.is_outdated(name, incarnation):
             return False
         known = self._records_by_id.get(registration.endpoint_id)
         if known is not None and not _is_newer(registration, known):
             return False
         if known is None and self._is_superseded(registration):
             return False
-        if self._incarnations.observe(name, born):
+        if self._incarnations.observe(name, incarnation):
             for previous in self._incarnations_of(name):
                 self._set_state(previous, RegistrationState.GONE)
         now = self._clock.monotonic()
@@ -77,20 +77,21 @@
         self._put(registration)
         return True
 
-    def end(self, name: str, born: int = UNKNOWN_START) -> bool:
+    def end(self, name: str, incarnation: int = UNKNOWN_INCARNATION) -> bool:
         """Mark an endpoint as ended.
 
         It may have checked in at another control VM, so the end of an unknown
         endpoint is recorded as well and published in every region.
 
         :param name: the id that the endpoint reports
-        :param born: the incarnation that ends; if unknown, all of them
+        :param incarnation: the incarnation that ends; if unknown, all of them
         :returns: whether it was known
         """
         ending = [
             record
             for record in self._incarnations_of(name)
-            if born in (UNKNOWN_START, record.registration.born)
+            if incarnation
+            in (UNKNOWN_INCARNATION, record.registration.incarnation)
         ]
         for record in ending:
             self._set_state(record, RegistrationState.GONE)
@@ -98,7 +99,7 @@
             return True
         self._put(
             Registration(
-                endpoint_id=name_start(name, born),
+                endpoint_id=make_incarnation_id(name, incarnation),
                 service="",
                 address="",
                 data_centre=ANY_DATA_CENTRE,
@@ -106,12 +107,12 @@
                 sequence=0,
                 state=RegistrationState.GONE,
                 name=name,
-                born=born,
+                incarnation=incarnation,
             )
         )
         return False
 
-    def is_gone(self, endpoint_id: str) -> bool:
+    def has_ended(self, endpoint_id: str) -> bool:
         """Return whether an endpoint has ended."""
         known = self._records_by_id.get(endpoint_id)
         if known is None:
@@ -131,7 +132,7 @@
             in {ANY_DATA_CENTRE, *data_centres}
         ]
 
-    def live(self) -> Iterable[Registration]:
+    def ready(self) -> Iterable[Registration]:
         """Return the registrations of endpoints that accept requests."""
         for record in self._records_by_id.values():
             if record.registration.state is RegistrationState.READY:
@@ -140,7 +141,7 @@
     def ready_or_draining(self) -> list[Registration]:
         """Return the registrations of ready and of draining endpoints."""
         now = self._clock.monotonic()
-        kept = (RegistrationState.READY, RegistrationState.LEAVING)
+        kept = (RegistrationState.READY, RegistrationState.DRAINING)
         return [
             _count_down(record.registration, now - record.received_at)
             for record in self._records_by_id.values()
@@ -155,7 +156,7 @@
         :returns: how many were added
         """
         return sum(
-            self.take(registration)
+            self.apply(registration)
             for registration in registrations
             if registration.endpoint_id not in self._records_by_id
         )
@@ -169,12 +170,12 @@
             match record.registration.state:
                 case RegistrationState.READY:
                     if idle_seconds > CHECK_IN_TIMEOUT_SECONDS:
-                        self._set_state(record, RegistrationState.SILENT)
-                case RegistrationState.LEAVING:
+                        self._set_state(record, RegistrationState.UNREACHABLE)
+                case RegistrationState.DRAINING:
                     # Becoming unreachable must not undo the drain notice.
                     if idle_seconds > EXPIRY_SECONDS:
                         self._set_state(record, RegistrationState.GONE)
-                case RegistrationState.SILENT:
+                case RegistrationState.UNREACHABLE:
                     if idle_seconds > EXPIRY_SECONDS:
                         self._set_state(record, RegistrationState.EXPIRED)
                 case _:
@@ -185,7 +186,7 @@
         return [
             record
             for record in self._records_by_id.values()
-            if record.registration.known_as == name
+            if record.registration.reported_id == name
         ]
 
     def _is_superseded(self, registration: Registration) -> bool:
@@ -201,7 +202,7 @@
         other = self._records_by_id.get(newest)
         if other is None:
             return False
-        if other.registration.known_as == registration.known_as:
+        if other.registration.reported_id == registration.reported_id:
             # The start times that the endpoint reports decide instead.
             return False
         is_live = other.registration.state is RegistrationState.READY
@@ -240,7 +241,9 @@
         registration = record.registration
         del self._records_by_id[registration.endpoint_id]
         records = self._records_by_id.values()
-        self._incarnations.retain({r.registration.known_as for r in records})
+        self._incarnations.retain(
+            {r.registration.reported_id for r in records}
+        )
         newest = self._newest_id_by_address.get(registration.address)
         if newest == registration.endpoint_id:
             del self._newest_id_by_address[registration.address]
@@ -264,10 +267,12 @@
     same = msgspec.structs.replace(
         registration,
         sequence=current.sequence,
-        cold_seconds=current.cold_seconds,
+        slow_start_seconds=current.slow_start_seconds,
         seconds_left=current.seconds_left,
     )
-    slow_start_restarted = registration.cold_seconds > current.cold_seconds
+    slow_start_restarted = (
+        registration.slow_start_seconds > current.slow_start_seconds
+    )
     end_time_changed = (registration.seconds_left is None) != (
         current.seconds_left is None
     )
@@ -278,10 +283,10 @@
 
 def _count_down(registration: Registration, seconds: float) -> Registration:
     left = registration.seconds_left
-    if not registration.cold_seconds and left is None:
+    if not registration.slow_start_seconds and left is None:
         return registration
     return msgspec.structs.replace(
         registration,
-        cold_seconds=max(0.0, registration.cold_seconds - seconds),
+        slow_start_seconds=max(0.0, registration.slow_start_seconds - seconds),
         seconds_left=None if left is None else max(0.0, left - seconds),
     )
--- a/scripts/bench/choosing.py
+++ b/scripts/bench/choosing.py
@@ -69,7 +69,7 @@
             slots=32,
             sequence=1,
             state=RegistrationState.READY,
-            cold_until=0.0,
+            slow_start_until=0.0,
             ends_at=None,
         )
         for number in range(count)
--- a/scripts/experiment/passed/variants.py
+++ b/scripts/experiment/passed/variants.py
@@ -118,20 +118,20 @@
         held = self._fleet.prefix_cache_view.cached_tokens(
             endpoint.endpoint_id, request.prompt
         )
-        unread = request.prompt.tokens - held
+        uncached = request.prompt.tokens - held
         return EndpointTarget(
             choice=RatedEndpoint(
                 endpoint=endpoint,
                 wait=ExpectedWait(queue=0.0, service_time=0.0),
-                unread_tokens=unread,
-                prefill_cost_tokens=float(unread),
+                uncached_tokens=uncached,
+                prefill_cost_tokens=float(uncached),
             )
         )
 
     def _load_of(self, endpoint_id: str) -> Load:
         load = Load()
         own = self._fleet.read_own_load().get(endpoint_id, [])
-        load.merge(Load.of(own))
+        load.merge(Load.from_ranks(own))
         load.merge(self._read_load(endpoint_id))
         return load
 
--- a/scripts/experiment/passed/world.py
+++ b/scripts/experiment/passed/world.py
@@ -12,11 +12,11 @@
 from burdockdrum.passthrough.target_selection import TargetSelector
 from burdockdrum.peers import VmIdentity
 from burdockdrum.registrations import Load
-from burdockdrum.registrations import PlacedParts
+from burdockdrum.registrations import PlacedPrefix
 from burdockdrum.registrations import RankLoad
 from burdockdrum.registrations import RegisteredEndpoint
 from burdockdrum.registrations import RegistrationState
-from burdockdrum.registrations import ServiceRoom
+from burdockdrum.registrations import ServiceCapacity
 from burdockdrum.resources import Backend
 from burdockdrum.resources import Engine
 from scripts.experiment.passed.engine import SimulatedEngine
@@ -34,7 +34,7 @@
 # What entries and endpoints tell, and how late, in seconds: the intervals
 # of the product, a millisecond within a region and 55 between two.
 TELL_SECONDS = 0.1
-ROOM_SECONDS = 0.5
+CAPACITY_INTERVAL_SECONDS = 0.5
 NEWS_SECONDS = 1.0
 NEAR_SECONDS = 0.001
 FAR_SECONDS = 0.055
@@ -58,13 +58,13 @@
     loads_by_vm: dict[str, dict[str, list[RankLoad]]] = field(
         default_factory=dict
     )
-    rooms: list[ServiceRoom] = field(default_factory=list)
+    capacities: list[ServiceCapacity] = field(default_factory=list)
 
     def load_of(self, endpoint_id: str) -> Load:
         """Return what the others have at an endpoint."""
         load = Load()
         for ranks_by_id in self.loads_by_vm.values():
-            load.merge(Load.of(ranks_by_id.get(endpoint_id, [])))
+            load.merge(Load.from_ranks(ranks_by_id.get(endpoint_id, [])))
         return load
 
 
@@ -134,7 +134,7 @@
         for entry in self.entries:
             delay = self._rng.random() * TELL_SECONDS * self.times
             self.schedule.after(delay, self._make_teller(entry))
-        every(ROOM_SECONDS * self.times, self._tell_rooms)
+        every(CAPACITY_INTERVAL_SECONDS * self.times, self._send_capacities)
         every(NEWS_SECONDS * self.times, self._tell_holdings)
         for happening in happenings:
             strike = functools.partial(self._strike, happening)
@@ -152,7 +152,7 @@
             slots=self.shape.slots,
             sequence=1,
             state=RegistrationState.READY,
-            cold_until=0.0,
+            slow_start_until=0.0,
             ends_at=None,
         )
 
@@ -178,7 +178,7 @@
         endpoints = self._endpoints_by_region[region]
         entry.prefix_cache_table = PrefixCacheTable()
         entry.loads_by_vm = {}
-        entry.rooms = []
+        entry.capacities = []
         entry.fleet = Fleet(
             clock=self.schedule,
             rng=entry.rng,
@@ -203,7 +203,7 @@
             rng=entry.rng,
             fleet=entry.fleet,
             region=region,
-            read_capacities=lambda: entry.rooms,
+            read_capacities=lambda: entry.capacities,
             read_entries=lambda: [
                 other.identity for other in self.entries if other.is_up
             ],
@@ -236,27 +236,27 @@
         other: Entry,
         entry: Entry,
         load: dict[str, list[RankLoad]],
-        placed: list[PlacedParts],
+        placed: list[PlacedPrefix],
     ) -> None:
         other.loads_by_vm[entry.identity.vm_id] = load
         other.fleet.prefix_cache_view.record_notices(placed)
 
-    def _tell_rooms(self) -> None:
-        rooms = [self._sum_room(region) for region in REGIONS]
+    def _send_capacities(self) -> None:
+        capacities = [self._sum_capacity(region) for region in REGIONS]
 
         def hear() -> None:
             for entry in self.entries:
-                entry.rooms = rooms
+                entry.capacities = capacities
 
         self.schedule.after(FAR_SECONDS * self.times, hear)
 
-    def _sum_room(self, region: str) -> ServiceRoom:
+    def _sum_capacity(self, region: str) -> ServiceCapacity:
         load = Load()
         for entry in self.live_entries(region):
             for ranks in entry.fleet.read_own_load().values():
-                load.merge(Load.of(ranks))
+                load.merge(Load.from_ranks(ranks))
         endpoints = self._endpoints_by_region[region]
-        return ServiceRoom(
+        return ServiceCapacity(
             region,
             SERVICE,
             len(endpoints),
--- a/tests/fuzzing/test_platform_messages.py
+++ b/tests/fuzzing/test_platform_messages.py
@@ -18,8 +18,8 @@
 from adapter.documents import DocumentError  # noqa: E402
 from adapter.documents import read_document  # noqa: E402
 
-from burdockdrum.registrations import RegistrationBook  # noqa: E402
 from burdockdrum.registrations import RegistrationState  # noqa: E402
+from burdockdrum.registrations import RegistrationTable  # noqa: E402
 from tests.platform.test_boot import CheckInTest  # noqa: E402
 from tests.platform.test_boot import DOCUMENT  # noqa: E402
 from tests.registrations.test_book import HERE  # noqa: E402
@@ -67,11 +67,11 @@
             self.assertTrue(str(error))
             return
         self.assertIn(
-            said.state, (RegistrationState.READY, RegistrationState.LEAVING)
+            said.state, (RegistrationState.READY, RegistrationState.DRAINING)
         )
         self.assertTrue(name and said.service and said.address)
         self.assertGreaterEqual(said.sequence, 0)
-        self.assertTrue(0 <= said.cold_seconds < float("inf"))
+        self.assertTrue(0 <= said.slow_start_seconds < float("inf"))
 
     @settings(max_examples=300, deadline=None)
     @given(strategies.binary(max_size=200))
@@ -85,14 +85,14 @@
     @settings(max_examples=100, deadline=None)
     @given(changed(SAID))
     def test_what_is_refused_leaves_the_others_as_they_were(self, body):
-        book = RegistrationBook(clock=SteppedClock())
+        table = RegistrationTable(clock=SteppedClock())
         for name in ("e1", "e2"):
-            book.take(read_check_in(name, json.dumps(SAID).encode()))
-        before = book.changes_after(0, HERE)
+            table.apply(read_check_in(name, json.dumps(SAID).encode()))
+        before = table.changes_after(0, HERE)
         try:
             read_check_in("e1", body)
         except CheckInError:
-            self.assertEqual(before, book.changes_after(0, HERE))
+            self.assertEqual(before, table.changes_after(0, HERE))
 
     def test_classes_of_what_names_no_endpoint(self):
         for change in (
--- a/tests/passthrough/entries.py
+++ b/tests/passthrough/entries.py
@@ -24,7 +24,7 @@
 from burdockdrum.passthrough.target_selection import TargetSelector
 from burdockdrum.peers import VmIdentity
 from burdockdrum.registrations import Load
-from burdockdrum.registrations import ServiceRoom
+from burdockdrum.registrations import ServiceCapacity
 from tests.callers.fakes import FakeConfiguration
 from tests.callers.fakes import make_finder
 from tests.callers.fakes import make_meter
@@ -162,7 +162,7 @@
         clock = SystemClock()
         rng = random.Random(1)
         capacities = [
-            ServiceRoom(name, "model", 1, 8, []) for name in capacities
+            ServiceCapacity(name, "model", 1, 8, []) for name in capacities
         ]
         registered = {}
         for number, endpoint in enumerate(endpoints):
--- a/tests/passthrough/fakes.py
+++ b/tests/passthrough/fakes.py
@@ -52,7 +52,7 @@
         "slots": 8,
         "sequence": 1,
         "state": RegistrationState.READY,
-        "cold_until": 0.0,
+        "slow_start_until": 0.0,
         "ends_at": None,
     }
     return RegisteredEndpoint(
@@ -91,16 +91,16 @@
         self.clock = ManualClock()
         self.endpoints = {name: make_endpoint(name) for name in ids}
         self.others = {}
-        self.unheard = 0
-        self.lag = 0.0
+        self.unreported_entries = 0
+        self.load_age_seconds = 0.0
         self.prefix_cache_table = PrefixCacheTable()
         self.fleet = Fleet(
             clock=self.clock,
             rng=random.Random(seed),
             read_endpoints=lambda: self.endpoints,
             read_load=lambda name: self.others.get(name, Load()),
-            read_unreported_entries=lambda: self.unheard,
-            read_load_age=lambda: self.lag,
+            read_unreported_entries=lambda: self.unreported_entries,
+            read_load_age=lambda: self.load_age_seconds,
             prefix_cache_table=self.prefix_cache_table,
             read_region={
                 "dc": "here",
--- a/tests/passthrough/test_callers.py
+++ b/tests/passthrough/test_callers.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from burdockdrum.registrations import ServiceRoom
+from burdockdrum.registrations import ServiceCapacity
 from burdockdrum.resources import RateLimit
 from tests.callers.fakes import CERTAIN_SECONDS
 from tests.callers.fakes import make_team
@@ -97,7 +97,7 @@
         )
         far = Endpoint(answer())
         await self.world.open_entry("there", [far])
-        entry.capacities.append(ServiceRoom("there", "model", 1, 8, []))
+        entry.capacities.append(ServiceCapacity("there", "model", 1, 8, []))
         status, _, _ = await entry.call(TOKEN)
         self.assertEqual(200, status)
         self.assertEqual([], self.endpoint.seen)
--- a/tests/passthrough/test_engines.py
+++ b/tests/passthrough/test_engines.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from burdockdrum.passthrough.endpoint_state import MIN_UNREAD_FRACTION
+from burdockdrum.passthrough.endpoint_state import MIN_UNCACHED_FRACTION
 from burdockdrum.passthrough.engines import count_attention_pairs
 from burdockdrum.passthrough.engines import EngineEstimates
 from burdockdrum.passthrough.prompts import Prompt
@@ -132,7 +132,7 @@
             pair.append(first_part_seconds(engines, 8000))
         self.assertAlmostEqual(2.0, pair[1] / pair[0], delta=0.1)
 
-    def test_attention_pairs_cover_the_unread_tokens(self):
+    def test_attention_pairs_cover_the_uncached_tokens(self):
         prompt = Prompt(tokens=1000)
         self.assertEqual(500_000, count_attention_pairs(prompt, 1000))
         self.assertEqual(
@@ -182,7 +182,7 @@
         world = FleetHarness("a")
         for number in range(100):
             in_flight_request = world.send(make_prompt(4000 + number * 100))
-            tokens = in_flight_request.choice.unread_tokens
+            tokens = in_flight_request.choice.uncached_tokens
             self.answer(world, in_flight_request, 0.04 + tokens * 2.4e-5)
             world.fleet.record_end(in_flight_request, MODEL, whole=True)
         learned = world.choose(make_prompt(8001)).wait.service_time
@@ -199,6 +199,6 @@
         world.clock.now += 1.0
         [rank] = world.fleet.read_own_load()["a"]
         self.assertEqual(3, rank.waiting)
-        left = first * MIN_UNREAD_FRACTION + sum(others)
-        self.assertAlmostEqual(left, rank.unread_tokens, delta=10)
+        left = first * MIN_UNCACHED_FRACTION + sum(others)
+        self.assertAlmostEqual(left, rank.uncached_tokens, delta=10)
         self.assertGreater(left, 21_000)
--- a/tests/passthrough/test_estimate_errors.py
+++ b/tests/passthrough/test_estimate_errors.py
@@ -68,8 +68,12 @@
         # responses are nevertheless late, as it was sent much recently.
         world = FleetHarness("busy", "idle")
         tokens = int(1.5 / world.fleet.engines.prefill_token_seconds("model"))
-        world.others["busy"] = Load.of([RankLoad(0, 1, 500, tokens, 1)])
-        world.others["idle"] = Load.of([RankLoad(0, 1, 3000, 0, waiting=1)])
+        world.others["busy"] = Load.from_ranks(
+            [RankLoad(0, 1, 500, tokens, 1)]
+        )
+        world.others["idle"] = Load.from_ranks(
+            [RankLoad(0, 1, 3000, 0, waiting=1)]
+        )
         before = world.choose(make_prompt(1000))
         self.assertEqual("busy", before.endpoint.endpoint_id)
         for _ in range(50):
--- a/tests/passthrough/test_fleet.py
+++ b/tests/passthrough/test_fleet.py
@@ -23,7 +23,9 @@
         # Guards against queueing behind a long prompt that another entry VM
         # has just sent to one of the endpoints.
         world = FleetHarness("a", "b", "c")
-        world.others["a"] = Load.of([RankLoad(1, 1, 57_000, waiting=1)])
+        world.others["a"] = Load.from_ranks(
+            [RankLoad(1, 1, 57_000, waiting=1)]
+        )
         chosen = {
             world.choose(make_prompt(1000)).endpoint.endpoint_id
             for _ in range(30)
@@ -59,7 +61,7 @@
         alone = [world.send(make_prompt(6000)) for _ in range(4)]
         self.assertEqual(4, len(alone))
         short = world.choose(make_prompt(6000)).wait.queue
-        world.unheard = 27
+        world.unreported_entries = 27
         long = world.choose(make_prompt(6000)).wait.queue
         self.assertLess(short, 0.3)
         self.assertGreater(long, 2.0)
@@ -81,7 +83,7 @@
         world = FleetHarness("a", "b")
         prompt = make_prompt(6600, ("plan-7", 5000))
         home = world.choose(prompt).endpoint.endpoint_id
-        world.others[home] = Load.of([RankLoad(0, 3, 85_000)])
+        world.others[home] = Load.from_ranks([RankLoad(0, 3, 85_000)])
         other = world.choose(prompt).endpoint.endpoint_id
         self.assertNotEqual(home, other)
 
@@ -105,9 +107,9 @@
         world = FleetHarness("a", "b", crossing_seconds=4.0)
         for name in ("c", "d"):
             world.endpoints[name] = make_endpoint(name, data_centre="beside")
-        world.lag = 0.5
+        world.load_age_seconds = 0.5
         for name, tokens in zip("abcd", (2000, 2400, 1800, 2200), strict=True):
-            load = Load.of([RankLoad(0, 3, tokens, 40_000, waiting=2)])
+            load = Load.from_ranks([RankLoad(0, 3, tokens, 40_000, waiting=2)])
             world.others[name] = load
         chosen = {
             world.choose(make_prompt(300), body_bytes=400).endpoint.endpoint_id
@@ -121,14 +123,16 @@
         world = FleetHarness("a", "b", crossing_seconds=1.5)
         world.endpoints["c"] = make_endpoint("c", data_centre="beside")
         for name in ("a", "b"):
-            world.others[name] = Load.of([RankLoad(0, 1, 57_000, waiting=1)])
+            world.others[name] = Load.from_ranks(
+                [RankLoad(0, 1, 57_000, waiting=1)]
+            )
         choice = world.choose(make_prompt(1000), body_bytes=34_000)
         self.assertEqual("c", choice.endpoint.endpoint_id)
 
     def test_ineligible_endpoints_are_never_chosen(self):
         world = FleetHarness("ok")
         away = {
-            "leaving": {"state": RegistrationState.LEAVING},
+            "leaving": {"state": RegistrationState.DRAINING},
             "elsewhere": {"data_centre": "closed"},
             "other": {"service": "other"},
             "ended": {"ends_at": 99.0},
@@ -146,7 +150,7 @@
         world = FleetHarness("a", "quiet")
         quiet = world.endpoints["quiet"]
         world.endpoints["quiet"] = dataclasses.replace(
-            quiet, state=RegistrationState.SILENT
+            quiet, state=RegistrationState.UNREACHABLE
         )
         for _ in range(5):
             self.assertEqual(
@@ -250,7 +254,7 @@
             world.fleet.record_end(in_flight_request, MODEL, whole=True)
         ranks = world.fleet.read_own_load()["a"]
         self.assertEqual(0, sum(rank.requests for rank in ranks))
-        self.assertEqual(0, sum(rank.unread_tokens for rank in ranks))
+        self.assertEqual(0, sum(rank.uncached_tokens for rank in ranks))
         # Recently sent tokens decay.
         world.clock.now += 30
         self.assertEqual({}, world.fleet.read_own_load())
@@ -272,7 +276,9 @@
         worlds = [FleetHarness("cold", seed=n) for n in range(entries)]
         for world in worlds:
             world.fleet.entries = entries
-            world.endpoints["cold"] = make_endpoint("cold", cold_until=200.0)
+            world.endpoints["cold"] = make_endpoint(
+                "cold", slow_start_until=200.0
+            )
         sent = []
         for tick in range(1000):
             for world in worlds:
--- a/tests/passthrough/test_regions.py
+++ b/tests/passthrough/test_regions.py
@@ -17,7 +17,7 @@
 from burdockdrum.peers import VmIdentity
 from burdockdrum.registrations import Load
 from burdockdrum.registrations import RankLoad
-from burdockdrum.registrations import ServiceRoom
+from burdockdrum.registrations import ServiceCapacity
 from tests.passthrough.fakes import FleetHarness
 from tests.passthrough.fakes import make_prompt
 from tests.passthrough.fakes import make_route
@@ -49,7 +49,9 @@
             rng=random.Random(1),
             fleet=self.world.fleet,
             region="here",
-            read_capacities=lambda: [ServiceRoom("over", "model", 1, 8, [])],
+            read_capacities=lambda: [
+                ServiceCapacity("over", "model", 1, 8, [])
+            ],
             read_entries=lambda: [FAR_ENTRY],
             read_closed_data_centres=frozenset,
             hop_address=lambda identity: identity.http_address,
@@ -78,7 +80,9 @@
 
     def fill_queue(self, seconds):
         tokens = int(seconds / self.prefill_token_seconds)
-        self.world.others["a"] = Load.of([RankLoad(0, 1, tokens, waiting=1)])
+        self.world.others["a"] = Load.from_ranks(
+            [RankLoad(0, 1, tokens, waiting=1)]
+        )
 
     def report_prefix(self, endpoint_id, data_centre):
         self.world.prefix_cache_table.apply(
@@ -114,26 +118,26 @@
         # Guards against overestimating a remote prefill: an endpoint there
         # can fetch the prefix from here.
         self.report_prefix("a", "dc")
-        unread, fetch = self.world.fleet.prefixes.estimate_in_region(
+        uncached, fetch = self.world.fleet.prefixes.estimate_in_region(
             MODEL, PLAN, "over", ()
         )
-        self.assertEqual(3_700, unread)
+        self.assertEqual(3_700, uncached)
         self.assertTrue(fetch.is_cross_region)
 
     def test_homes_restrict_fetches(self):
         # Guards against a violation of residency by fetching data from a
         # region where it must not be processed.
         self.report_prefix("a", "dc")
-        unread, fetch = self.world.fleet.prefixes.estimate_in_region(
+        uncached, fetch = self.world.fleet.prefixes.estimate_in_region(
             MODEL, PLAN, "over", ("over",)
         )
-        self.assertEqual(17_000, unread)
+        self.assertEqual(17_000, uncached)
         self.assertIsNone(fetch)
 
     def test_urgent_request_is_forwarded_rather_than_preempting(self):
         # Guards against preempting a less urgent request at a full endpoint
         # while another region has free slots.
-        self.world.others["a"] = Load.of(
+        self.world.others["a"] = Load.from_ranks(
             [RankLoad(0, 7, 0, 0, 0), RankLoad(1, 1, 0, 0, 0)]
         )
         selector = self.make_selector()
@@ -141,7 +145,7 @@
         self.assertIsInstance(
             selector.select(request, RequestProgress()), RegionTarget
         )
-        self.world.others["a"] = Load.of([RankLoad(0, 7, 0, 0, 0)])
+        self.world.others["a"] = Load.from_ranks([RankLoad(0, 7, 0, 0, 0)])
         self.assertIsInstance(
             selector.select(request, RequestProgress()), EndpointTarget
         )
--- a/tests/passthrough/test_relay_hops.py
+++ b/tests/passthrough/test_relay_hops.py
@@ -5,7 +5,7 @@
 
 from burdockdrum.registrations import Load
 from burdockdrum.registrations import RankLoad
-from burdockdrum.registrations import ServiceRoom
+from burdockdrum.registrations import ServiceCapacity
 from tests.http1.wire import header
 from tests.passthrough.entries import answer
 from tests.passthrough.entries import close_without_response
@@ -65,7 +65,7 @@
         entry = await self.open_two(
             here=[here], there=there, attempts=2, homes=["there", "here"]
         )
-        busy = Load.of([RankLoad(0, 1, 47_000)])
+        busy = Load.from_ranks([RankLoad(0, 1, 47_000)])
         entry.others = busy
         status, _, _ = await entry.call(b"X-Deadline-Ms: 60000")
         self.assertEqual(500, status)
@@ -79,7 +79,7 @@
         entry = await self.open_two(
             here=[Endpoint(answer(b"here"))], there=[there], attempts=2
         )
-        busy = Load.of([RankLoad(0, 1, 47_000)])
+        busy = Load.from_ranks([RankLoad(0, 1, 47_000)])
         entry.others = busy
         task = asyncio.create_task(entry.call())
         await asyncio.sleep(0.2)
@@ -110,7 +110,7 @@
         there = Endpoint(answer(b"far"))
         entry = await self.open_two(there=[there])
         entry.capacities[:] = [
-            ServiceRoom("there", "model", 1, 1, [RankLoad(0, 1, 0)])
+            ServiceCapacity("there", "model", 1, 1, [RankLoad(0, 1, 0)])
         ]
         for _ in range(20):
             self.assertEqual(200, (await entry.call())[0])
--- a/tests/passthrough/test_restarts.py
+++ b/tests/passthrough/test_restarts.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from burdockdrum.registrations import Load
-from burdockdrum.registrations import name_start
+from burdockdrum.registrations import make_incarnation_id
 from tests.passthrough.entries import answer
 from tests.passthrough.entries import Endpoint
 from tests.passthrough.entries import never_respond
@@ -20,10 +20,13 @@
 SLOW_START_SECONDS = 3.0
 
 
-def make_start(born):
+def make_incarnation(incarnation):
     """Return endpoint e1 as registered at one of its starts."""
     return make_endpoint(
-        name_start("e1", born), name="e1", born=born, address="e1:80"
+        make_incarnation_id("e1", incarnation),
+        name="e1",
+        incarnation=incarnation,
+        address="e1:80",
     )
 
 
@@ -32,7 +35,7 @@
 
     def setUp(self):
         self.world = FleetHarness()
-        self.replace_endpoint(make_start(1000))
+        self.replace_endpoint(make_incarnation(1000))
 
     def replace_endpoint(self, endpoint):
         self.world.endpoints.clear()
@@ -45,21 +48,21 @@
             self.world.send(PROMPT)
         before = self.world.choose(PROMPT)
         self.assertGreater(before.wait.queue, 0.1)
-        self.replace_endpoint(make_start(2000))
+        self.replace_endpoint(make_incarnation(2000))
         after = self.world.choose(PROMPT)
         self.assertEqual(0.0, after.wait.queue)
-        self.assertEqual(1000, after.unread_tokens)
+        self.assertEqual(1000, after.uncached_tokens)
 
     def test_reported_load_of_previous_start_is_ignored(self):
         self.world.others["e1@1000"] = self.make_load()
-        self.replace_endpoint(make_start(2000))
+        self.replace_endpoint(make_incarnation(2000))
         self.assertEqual(0.0, self.world.choose(PROMPT).wait.queue)
 
     def make_load(self):
         for _ in range(20):
             self.world.send(PROMPT)
         own = self.world.fleet.read_own_load()
-        return Load.of(own["e1@1000"])
+        return Load.from_ranks(own["e1@1000"])
 
 
 class UnheardStartTest(unittest.TestCase):
@@ -69,7 +72,7 @@
 
     def setUp(self):
         self.world = FleetHarness()
-        endpoint = make_start(1000)
+        endpoint = make_incarnation(1000)
         self.world.endpoints[endpoint.endpoint_id] = endpoint
         self.health = self.world.fleet._state_of(endpoint).health
 
--- a/tests/passthrough/test_target_selection.py
+++ b/tests/passthrough/test_target_selection.py
@@ -68,7 +68,9 @@
 
     def fill_queue(self, seconds):
         tokens = int(seconds / self.prefill_token_seconds)
-        self.world.others["a"] = Load.of([RankLoad(0, 1, tokens, waiting=1)])
+        self.world.others["a"] = Load.from_ranks(
+            [RankLoad(0, 1, tokens, waiting=1)]
+        )
 
     def test_request_within_its_objective_is_accepted(self):
         self.fill_queue(0.9)
--- a/tests/passthrough/test_waiting.py
+++ b/tests/passthrough/test_waiting.py
@@ -36,16 +36,16 @@
     def test_urgent_request_does_not_wait_for_less_urgent_ones(self):
         # Guards against refusing urgent requests because of less urgent ones:
         # they only wait for the rest of the prefill that is running.
-        load = Load.of([RankLoad(1, 60, 340_000, waiting=60)])
+        load = Load.from_ranks([RankLoad(1, 60, 340_000, waiting=60)])
         self.assertAlmostEqual(4.0 / 60, self.queue(load, 0))
 
     def test_running_prefill_is_not_preempted(self):
         # Guards against assuming that an engine preempts a running prefill.
-        load = Load.of([RankLoad(1, 1, 17_000, waiting=1)])
+        load = Load.from_ranks([RankLoad(1, 1, 17_000, waiting=1)])
         self.assertAlmostEqual(0.2, self.queue(load, 0))
 
     def test_less_urgent_request_waits_for_all_before_it(self):
-        load = Load.of(
+        load = Load.from_ranks(
             [
                 RankLoad(0, 10, 25_500, waiting=10),
                 RankLoad(1, 40, 170_000, waiting=30),
@@ -59,11 +59,11 @@
         # Guards against ignoring urgent arrivals: as they use half of the
         # engine's time, a less urgent request queues twice as long.
         coming = RankLoad(0, 0, 0, recent_tokens=85_000)
-        load = Load.of([coming, RankLoad(1, 3, 17_000, waiting=3)])
+        load = Load.from_ranks([coming, RankLoad(1, 3, 17_000, waiting=3)])
         self.assertAlmostEqual(0.4, self.queue(load, 1))
         self.assertAlmostEqual(0.2 / 3, self.queue(load, 0))
         flood = RankLoad(0, 0, 0, recent_tokens=850_000)
-        load = Load.of([flood, RankLoad(1, 3, 17_000, waiting=3)])
+        load = Load.from_ranks([flood, RankLoad(1, 3, 17_000, waiting=3)])
         self.assertAlmostEqual(
             0.2 / MIN_CAPACITY_FRACTION, self.queue(load, 1)
         )
@@ -114,22 +114,24 @@
 
     def test_subtraction_never_goes_below_zero(self):
         load = Load()
-        load.add(0, RankSum(requests=1, waiting=1, unread_tokens=200))
-        load.add(0, RankSum(requests=2, waiting=2, unread_tokens=500), -1)
+        load.add(0, RankSum(requests=1, waiting=1, uncached_tokens=200))
+        load.add(0, RankSum(requests=2, waiting=2, uncached_tokens=500), -1)
         self.assertEqual(RankSum(), load.up_to(9))
 
     def test_ranks_round_trip(self):
-        load = Load.of([RankLoad(0, 2, 100), RankLoad(1, 1, 900, 2500, 1)])
+        load = Load.from_ranks(
+            [RankLoad(0, 2, 100), RankLoad(1, 1, 900, 2500, 1)]
+        )
         self.assertEqual(2500, load.recent_tokens)
-        self.assertEqual(load, Load.of(load.ranks()))
+        self.assertEqual(load, Load.from_ranks(load.ranks()))
         urgent, rest = load.up_to(0), load.above(0)
-        self.assertEqual((2, 100), (urgent.requests, urgent.unread_tokens))
-        self.assertEqual((1, 900), (rest.requests, rest.unread_tokens))
+        self.assertEqual((2, 100), (urgent.requests, urgent.uncached_tokens))
+        self.assertEqual((1, 900), (rest.requests, rest.uncached_tokens))
         self.assertEqual(1, rest.waiting)
 
     def test_average_of_several_endpoints(self):
-        load = Load.of([RankLoad(0, 6, 900, 300, 3)]).times(1 / 3)
+        load = Load.from_ranks([RankLoad(0, 6, 900, 300, 3)]).scaled(1 / 3)
         expected = RankSum(
-            requests=2, waiting=1, unread_tokens=300, recent_tokens=100
+            requests=2, waiting=1, uncached_tokens=300, recent_tokens=100
         )
         self.assertEqual(expected, load.up_to(0))
--- a/tests/passthrough/test_warmth.py
+++ b/tests/passthrough/test_warmth.py
@@ -190,8 +190,8 @@
         for name in "abc":
             report_cache(world.prefix_cache_table, name, other=5000)
         prompt = make_prompt(7000, *SHARED)
-        for lag, number in ((0.01, 3), (1.0, 1)):
-            world.lag = lag
+        for load_age, number in ((0.01, 3), (1.0, 1)):
+            world.load_age_seconds = load_age
             chosen = {
                 world.choose(prompt).endpoint.endpoint_id for _ in range(30)
             }
@@ -215,17 +215,17 @@
         choice = self.world.choose(make_prompt(7000, *SHARED), rank=1)
         self.assertEqual("b", choice.endpoint.endpoint_id)
         self.assertIsNone(choice.fetch_from)
-        self.assertEqual(1600, choice.unread_tokens)
+        self.assertEqual(1600, choice.uncached_tokens)
 
     def test_prefix_is_fetched_from_a_busy_holder(self):
         # The holder has a second of prefill queued; fetching from it is
         # faster than waiting there.
         self.hold("b")
-        self.world.others["b"] = Load.of([RankLoad(0, 4, 85_000)])
+        self.world.others["b"] = Load.from_ranks([RankLoad(0, 4, 85_000)])
         choice = self.world.choose(make_prompt(7000, *SHARED), rank=1)
         self.assertNotEqual("b", choice.endpoint.endpoint_id)
         self.assertEqual("b:80", choice.fetch_from)
-        self.assertEqual(1600, choice.unread_tokens)
+        self.assertEqual(1600, choice.uncached_tokens)
 
     def test_nothing_is_fetched_from_an_unreachable_endpoint(self):
         # This entry failed to connect to the holder. Guards against a fetch
@@ -252,7 +252,7 @@
         report_cache(self.world.prefix_cache_table, "far", **far)
         choice = self.world.choose(make_prompt(7000, *SHARED), rank=1)
         self.assertEqual("far:80", choice.fetch_from)
-        self.assertEqual(1600, choice.unread_tokens)
+        self.assertEqual(1600, choice.uncached_tokens)
         self.assertTrue(choice.fetch.is_cross_region)
         near = transfer_seconds(MODEL, 5400)
         self.assertAlmostEqual(2 * near, choice.fetch.transfer_seconds)
@@ -263,7 +263,7 @@
         prompt = make_prompt(7000, *SHARED)
         choice = self.world.choose(prompt, rank=1, homes=["here"])
         self.assertIsNone(choice.fetch_from)
-        self.assertEqual(7000, choice.unread_tokens)
+        self.assertEqual(7000, choice.uncached_tokens)
         choice = self.world.choose(prompt, rank=1, homes=["here", "over"])
         self.assertEqual("far:80", choice.fetch_from)
 
@@ -272,7 +272,7 @@
         del self.world.endpoints["b"]
         choice = self.world.choose(make_prompt(7000, *SHARED), rank=1)
         self.assertIsNone(choice.fetch_from)
-        self.assertEqual(7000, choice.unread_tokens)
+        self.assertEqual(7000, choice.uncached_tokens)
 
     def test_request_without_prompt_fetches_nothing(self):
         choice = self.world.choose(make_prompt(0))
--- a/tests/platform/test_boot.py
+++ b/tests/platform/test_boot.py
@@ -199,10 +199,10 @@
     def test_check_in(self):
         said = self.read()
         self.assertEqual(RegistrationState.READY, said.state)
-        self.assertEqual(1.5, said.cold_seconds)
+        self.assertEqual(1.5, said.slow_start_seconds)
         self.assertIsNone(said.seconds_left)
         said = self.read(state="draining", shutdown_in_ms=2000)
-        self.assertEqual(RegistrationState.LEAVING, said.state)
+        self.assertEqual(RegistrationState.DRAINING, said.state)
         self.assertEqual(2.0, said.seconds_left)
 
     def test_what_can_not_be_read_is_refused_with_the_field(self):
--- a/tests/platform/test_faces.py
+++ b/tests/platform/test_faces.py
@@ -20,7 +20,7 @@
 from burdockdrum.configuration import ChangeUnknown  # noqa: E402
 from burdockdrum.consensus import NotCurrent  # noqa: E402
 from burdockdrum.peers import VmIdentity  # noqa: E402
-from burdockdrum.registrations import RegistrationBook  # noqa: E402
+from burdockdrum.registrations import RegistrationTable  # noqa: E402
 from burdockdrum.resources import ChangeResult  # noqa: E402
 from burdockdrum.resources import ResourceStore  # noqa: E402
 from burdockdrum.vms import VmView  # noqa: E402
@@ -60,8 +60,8 @@
         logger.disable("adapter")
         self.configuration = Configuration()
         operators = OperatorCalls(configuration=self.configuration)
-        self.book = RegistrationBook(clock=ManualClock())
-        runners = RunnerCalls(book=self.book)
+        self.table = RegistrationTable(clock=ManualClock())
+        runners = RunnerCalls(table=self.table)
         self.views = []
         directory = DirectoryCalls(
             vms=types.SimpleNamespace(live_vms=lambda: self.views),
@@ -153,9 +153,9 @@
         body = json.dumps(CheckInTest.SAID)
         status, _ = await self.call("PUT", "/v1/instances/i-1", body)
         self.assertEqual(200, status)
-        self.assertEqual(["i-1"], [r.endpoint_id for r in self.book.live()])
+        self.assertEqual(["i-1"], [r.endpoint_id for r in self.table.ready()])
         await self.call("DELETE", "/v1/instances/i-1")
-        self.assertTrue(self.book.is_gone("i-1"))
+        self.assertTrue(self.table.has_ended("i-1"))
         status, reason = await self.call("PUT", "/v1/instances/i-1", "{}")
         self.assertEqual(400, status)
         self.assertIn(b"service", reason)
--- a/tests/registrations/test_book.py
+++ b/tests/registrations/test_book.py
@@ -2,11 +2,11 @@
 
 import unittest
 
-from burdockdrum.registrations.book import CHECK_IN_TIMEOUT_SECONDS
-from burdockdrum.registrations.book import EXPIRY_SECONDS
-from burdockdrum.registrations.book import RegistrationBook
 from burdockdrum.registrations.messages import Registration
 from burdockdrum.registrations.messages import RegistrationState
+from burdockdrum.registrations.table import CHECK_IN_TIMEOUT_SECONDS
+from burdockdrum.registrations.table import EXPIRY_SECONDS
+from burdockdrum.registrations.table import RegistrationTable
 
 HERE = frozenset({"dc"})
 
@@ -35,55 +35,55 @@
     )
 
 
-class BookTest(unittest.TestCase):
+class RegistrationTableTest(unittest.TestCase):
     """Check-ins that arrive in and out of order."""
 
     def setUp(self):
         self.clock = SteppedClock()
-        self.table = RegistrationBook(clock=self.clock)
+        self.table = RegistrationTable(clock=self.clock)
 
     def states(self, serial=0):
         changes = self.table.changes_after(serial, HERE)
         return {r.endpoint_id: r.state.value for r in changes}
 
     def test_check_in_without_news_is_no_change(self):
-        self.table.take(make(sequence=1, cold_seconds=2.0))
+        self.table.apply(make(sequence=1, slow_start_seconds=2.0))
         serial = self.table.serial
-        self.table.take(make(sequence=2, cold_seconds=1.0))
+        self.table.apply(make(sequence=2, slow_start_seconds=1.0))
         self.assertEqual(serial, self.table.serial)
 
     def test_new_slow_start_is_a_change(self):
-        self.table.take(make(sequence=1))
+        self.table.apply(make(sequence=1))
         serial = self.table.serial
-        self.table.take(make(sequence=2, cold_seconds=3.0))
+        self.table.apply(make(sequence=2, slow_start_seconds=3.0))
         self.assertEqual({"e1": "ready"}, self.states(serial))
 
     def test_late_check_in_does_not_undo_a_drain_notice(self):
         # An earlier check-in arrives after the notice; entries must not send
         # requests to the draining endpoint again.
-        self.table.take(make(sequence=5, state="leaving"))
-        self.assertFalse(self.table.take(make(sequence=4)))
+        self.table.apply(make(sequence=5, state="leaving"))
+        self.assertFalse(self.table.apply(make(sequence=4)))
         self.assertEqual({"e1": "leaving"}, self.states())
 
     def test_end_is_final(self):
-        self.table.take(make(sequence=1))
+        self.table.apply(make(sequence=1))
         self.table.end("e1")
-        self.assertFalse(self.table.take(make(sequence=9)))
+        self.assertFalse(self.table.apply(make(sequence=9)))
         self.assertEqual({"e1": "gone"}, self.states())
 
     def test_late_check_in_of_a_former_endpoint_is_ignored(self):
         # The endpoint crashed during a partition, and a new one has its
         # address. A check-in delayed by the partition must not replace it.
-        self.table.take(make("new", sequence=2))
-        self.assertFalse(self.table.take(make("old", sequence=40)))
+        self.table.apply(make("new", sequence=2))
+        self.assertFalse(self.table.apply(make("old", sequence=40)))
         self.assertEqual({"new": "ready"}, self.states())
 
     def test_check_in_timeout_and_recovery_are_published(self):
-        self.table.take(make(sequence=1))
+        self.table.apply(make(sequence=1))
         self.clock.now += CHECK_IN_TIMEOUT_SECONDS + 0.1
         self.table.prune()
         self.assertEqual({"e1": "silent"}, self.states())
-        self.table.take(make(sequence=2))
+        self.table.apply(make(sequence=2))
         self.assertEqual({"e1": "ready"}, self.states())
         self.clock.now += EXPIRY_SECONDS + 0.1
         self.table.prune()
@@ -91,14 +91,14 @@
         self.assertEqual({"e1": "forgotten"}, self.states())
 
     def test_check_in_timeout_does_not_undo_a_drain_notice(self):
-        self.table.take(make(sequence=1, state="leaving"))
+        self.table.apply(make(sequence=1, state="leaving"))
         self.clock.now += CHECK_IN_TIMEOUT_SECONDS + 0.1
         self.table.prune()
         self.assertEqual({"e1": "leaving"}, self.states())
 
     def test_remaining_times_are_counted_down(self):
-        self.table.take(make(cold_seconds=3.0, seconds_left=2.0))
+        self.table.apply(make(slow_start_seconds=3.0, seconds_left=2.0))
         self.clock.now += 1.0
         (changed,) = self.table.changes_after(0, HERE)
-        self.assertAlmostEqual(2.0, changed.cold_seconds)
+        self.assertAlmostEqual(2.0, changed.slow_start_seconds)
         self.assertAlmostEqual(1.0, changed.seconds_left)
--- a/tests/registrations/test_following.py
+++ b/tests/registrations/test_following.py
@@ -9,10 +9,10 @@
 from burdockdrum.peers import Seal
 from burdockdrum.peers import VmIdentity
 from burdockdrum.registrations import Registration
-from burdockdrum.registrations import RegistrationBook
 from burdockdrum.registrations import RegistrationFollower
 from burdockdrum.registrations import RegistrationPublisher
 from burdockdrum.registrations import RegistrationState
+from burdockdrum.registrations import RegistrationTable
 from burdockdrum.testing import FakeNetwork
 from burdockdrum.testing import run_virtual
 from burdockdrum.testing import VirtualClock
@@ -73,7 +73,7 @@
             metrics=metrics,
         )
         if name in self.addresses:
-            table = self.tables[name] = RegistrationBook(clock=self.clock)
+            table = self.tables[name] = RegistrationTable(clock=self.clock)
             service = RegistrationPublisher(
                 peers=peers,
                 clock=self.clock,
@@ -137,26 +137,28 @@
         # An entry that learns of it late would still route requests to a
         # draining endpoint.
         async def check(world):
-            world.tables["a"].take(make("e1"))
+            world.tables["a"].apply(make("e1"))
             await asyncio.sleep(0.5)
-            world.tables["a"].take(make("e1", sequence=2, state="leaving"))
+            world.tables["a"].apply(make("e1", sequence=2, state="leaving"))
             await asyncio.sleep(0.2)
             for follower in world.followers.values():
-                self.assertTrue(follower.endpoints_by_id["e1"].leaving)
+                self.assertTrue(follower.endpoints_by_id["e1"].is_draining)
 
         play(check)
 
     def test_lost_notice_is_resent(self):
         # The drain notice is lost on its way to one entry.
         async def check(world):
-            world.tables["a"].take(make("e1"))
+            world.tables["a"].apply(make("e1"))
             await asyncio.sleep(0.5)
             world.network.cut(["a"], ["x"])
-            world.tables["a"].take(make("e1", sequence=2, state="leaving"))
+            world.tables["a"].apply(make("e1", sequence=2, state="leaving"))
             await asyncio.sleep(0.4)
             world.network.heal(["a"], ["x"])
             await asyncio.sleep(1.0)
-            self.assertTrue(world.followers["x"].endpoints_by_id["e1"].leaving)
+            self.assertTrue(
+                world.followers["x"].endpoints_by_id["e1"].is_draining
+            )
 
         play(check)
 
@@ -164,10 +166,12 @@
         # The endpoint checks in at a, then drains at b. At a it only becomes
         # unreachable, which must not hide the notice.
         async def check(world):
-            world.tables["a"].take(make("e1", sequence=1))
-            world.tables["b"].take(make("e1", sequence=2, state="leaving"))
+            world.tables["a"].apply(make("e1", sequence=1))
+            world.tables["b"].apply(make("e1", sequence=2, state="leaving"))
             await asyncio.sleep(6)
-            self.assertTrue(world.followers["x"].endpoints_by_id["e1"].leaving)
+            self.assertTrue(
+                world.followers["x"].endpoints_by_id["e1"].is_draining
+            )
 
         play(check)
 
@@ -175,13 +179,13 @@
         # The endpoint checked in at a and reports its end at b. Entries must
         # not use it any more, though a still lists it as ready.
         async def check(world):
-            world.tables["a"].take(make("e1"))
+            world.tables["a"].apply(make("e1"))
             await asyncio.sleep(0.5)
             world.tables["b"].end("e1")
             await asyncio.sleep(0.2)
             for follower in world.followers.values():
                 self.assertNotIn("e1", follower.endpoints_by_id)
-            world.tables["a"].take(make("e1", sequence=2))
+            world.tables["a"].apply(make("e1", sequence=2))
             await world.stop("x")
             await world.start("x")
             await asyncio.sleep(1)
@@ -193,15 +197,15 @@
         # Otherwise a control VM with an empty table would remove all its
         # endpoints; those that don't check in again are removed later.
         async def check(world):
-            world.tables["a"].take(make("e1"))
-            world.tables["a"].take(make("e2"))
+            world.tables["a"].apply(make("e1"))
+            world.tables["a"].apply(make("e2"))
             await asyncio.sleep(0.5)
             await world.stop("a")
             await world.start("a")
             await asyncio.sleep(1)
             follower = world.followers["x"]
             self.assertEqual({"e1", "e2"}, set(follower.endpoints_by_id))
-            world.tables["b"].take(make("e1", sequence=2))
+            world.tables["b"].apply(make("e1", sequence=2))
             await asyncio.sleep(7)
             self.assertEqual({"e1"}, set(follower.endpoints_by_id))
 
@@ -209,7 +213,7 @@
 
     def test_endpoints_are_kept_while_no_control_vm_is_reachable(self):
         async def check(world):
-            world.tables["a"].take(make("e1"))
+            world.tables["a"].apply(make("e1"))
             await asyncio.sleep(0.5)
             world.network.cut(["a", "b"], ["x"])
             await asyncio.sleep(20)
@@ -223,8 +227,8 @@
         # report of only one, an entry would reject requests that the region
         # has capacity for.
         async def check(world):
-            world.tables["a"].take(make("f1", data_centre="far"))
-            world.tables["b"].take(make("f2", data_centre="far"))
+            world.tables["a"].apply(make("f1", data_centre="far"))
+            world.tables["b"].apply(make("f2", data_centre="far"))
             await asyncio.sleep(1)
             for _ in range(10):
                 await asyncio.sleep(0.11)
@@ -236,11 +240,11 @@
     def test_entries_count_each_other(self):
         async def check(world):
             await asyncio.sleep(1)
-            self.assertEqual(2, world.followers["x"].entries_here)
+            self.assertEqual(2, world.followers["x"].region_entries)
             # A stopped one still counts for a while: it may be partitioned.
             await world.stop("y")
             await asyncio.sleep(5)
-            self.assertEqual(2, world.followers["x"].entries_here)
+            self.assertEqual(2, world.followers["x"].region_entries)
 
         play(check)
 
@@ -255,17 +259,17 @@
         # notice must not wait for that.
         async def check(world):
             await asyncio.sleep(5)
-            world.tables["a"].take(make("e1"))
+            world.tables["a"].apply(make("e1"))
             await asyncio.sleep(0.5)
             before = world.frames("e5"), world.frames("a")
             await asyncio.sleep(4)
             polled = world.frames("e5") - before[0]
             self.assertLess(polled / 4, 2.5)
             self.assertLess((world.frames("a") - before[1]) / 4, 110)
-            world.tables["a"].take(make("e1", sequence=2, state="leaving"))
+            world.tables["a"].apply(make("e1", sequence=2, state="leaving"))
             await asyncio.sleep(0.2)
             for follower in world.followers.values():
-                self.assertTrue(follower.endpoints_by_id["e1"].leaving)
+                self.assertTrue(follower.endpoints_by_id["e1"].is_draining)
 
         play(check, self.NAMES)
 
@@ -273,27 +277,27 @@
         # A notice lost with a connection must be resent without waiting for
         # the entry's next poll.
         async def check(world):
-            world.tables["a"].take(make("e1"))
+            world.tables["a"].apply(make("e1"))
             await asyncio.sleep(5)
             world.network.cut(["a"], ["e5"])
-            world.tables["a"].take(make("e1", sequence=2, state="leaving"))
+            world.tables["a"].apply(make("e1", sequence=2, state="leaving"))
             await asyncio.sleep(0.2)
             world.network.heal(["a"], ["e5"])
             await asyncio.sleep(1.0)
             endpoint = world.followers["e5"].endpoints_by_id["e1"]
-            self.assertTrue(endpoint.leaving)
+            self.assertTrue(endpoint.is_draining)
 
         play(check, self.NAMES)
 
     def test_acknowledged_change_is_not_resent(self):
         async def check(world):
             await asyncio.sleep(8)
-            world.tables["a"].take(make("e1"))
+            world.tables["a"].apply(make("e1"))
             await asyncio.sleep(0.5)
             before = world.frames("a")
             await asyncio.sleep(4)
             usual = world.frames("a") - before
-            world.tables["a"].take(make("e1", sequence=2, state="leaving"))
+            world.tables["a"].apply(make("e1", sequence=2, state="leaving"))
             await asyncio.sleep(4)
             # A notice to each of 102 entries, and its acknowledgement.
             sent = world.frames("a") - before - 2 * usual
--- a/tests/registrations/test_load_sharing.py
+++ b/tests/registrations/test_load_sharing.py
@@ -9,15 +9,15 @@
 from burdockdrum.peers import Seal
 from burdockdrum.peers import VmIdentity
 from burdockdrum.registrations import LoadSharing
-from burdockdrum.registrations import PlacedParts
+from burdockdrum.registrations import PlacedPrefix
 from burdockdrum.registrations import RankLoad
-from burdockdrum.registrations import ServiceRoom
+from burdockdrum.registrations import ServiceCapacity
 from burdockdrum.testing import FakeNetwork
 from burdockdrum.testing import run_virtual
 from burdockdrum.testing import VirtualClock
 from burdockdrum.timeline import HybridClock
 
-CAPACITY = ServiceRoom("there", "s", 3, 12, [RankLoad(0, 5, 100)])
+CAPACITY = ServiceCapacity("there", "s", 3, 12, [RankLoad(0, 5, 100)])
 # The number of entries that other data centres know of each data centre.
 VISIBLE_FROM_OTHER_DATA_CENTRES = 3
 
@@ -65,8 +65,8 @@
             read_load=self.read_load,
             read_capacities=lambda: [CAPACITY],
         )
-        self.sharing.take_placed = self.take_placed
-        self.sharing.hear_placed = self.received.extend
+        self.sharing.pop_placed = self.pop_placed
+        self.sharing.receive_placed = self.received.extend
         self.task = asyncio.create_task(self.run(peers))
 
     async def run(self, peers):
@@ -91,7 +91,7 @@
             if count
         }
 
-    def take_placed(self):
+    def pop_placed(self):
         """Return and remove the placements since the last call."""
         placed, self.placed = self.placed, []
         return placed
@@ -296,9 +296,9 @@
 
         play([6, 6], check)
 
-    def test_placed_parts_reach_every_other_entry_once(self):
+    def test_placed_prefixes_reach_every_other_entry_once(self):
         async def check(world):
-            placed = PlacedParts("e", [("part", 800)])
+            placed = PlacedPrefix("e", [("part", 800)])
             world.entries[3].placed.append(placed)
             await asyncio.sleep(2)
             for entry in world.entries:
@@ -311,30 +311,32 @@
         # An entry without replies must know how many loads it lacks.
         async def check(world):
             for entry in world.entries:
-                self.assertEqual(0, entry.sharing.unheard)
+                self.assertEqual(0, entry.sharing.unreported_entries)
             names = [e.identity.vm_id for e in world.entries]
             world.network.cut(names[:1], names[1:])
             await asyncio.sleep(3)
             alone, *others = world.entries
-            self.assertEqual(7, alone.sharing.unheard)
-            self.assertLessEqual({e.sharing.unheard for e in others}, {0, 1})
+            self.assertEqual(7, alone.sharing.unreported_entries)
+            self.assertLessEqual(
+                {e.sharing.unreported_entries for e in others}, {0, 1}
+            )
 
         play([8], check)
 
     def test_few_entries_without_a_report_are_counted(self):
         async def check(world):
             first, second, third = world.entries
-            self.assertEqual(0, first.sharing.unheard)
+            self.assertEqual(0, first.sharing.unreported_entries)
             await second.stop()
             await asyncio.sleep(2)
-            self.assertEqual(1, first.sharing.unheard)
-            self.assertEqual(1, third.sharing.unheard)
+            self.assertEqual(1, first.sharing.unreported_entries)
+            self.assertEqual(1, third.sharing.unreported_entries)
 
         play([3], check)
 
     def test_replies_contain_the_capacities(self):
         async def check(world):
             for entry in world.entries:
-                self.assertEqual([CAPACITY], entry.sharing.rooms)
+                self.assertEqual([CAPACITY], entry.sharing.capacities)
 
         play([6], check)
--- a/tests/registrations/test_load_sums.py
+++ b/tests/registrations/test_load_sums.py
@@ -52,7 +52,7 @@
                     for part in parts_by_source.values()
                     for rank in part.get(endpoint_id, [])
                 ]
-                expected = Load.of(ranks).up_to(9)
+                expected = Load.from_ranks(ranks).up_to(9)
                 found = sums.load_of(endpoint_id).up_to(9)
                 self.assertEqual(expected.requests, found.requests)
                 self.assertAlmostEqual(
--- a/tests/registrations/test_restarts.py
+++ b/tests/registrations/test_restarts.py
@@ -8,18 +8,20 @@
 from hypothesis import strategies
 from loguru import logger
 
-from burdockdrum.registrations import name_start
+from burdockdrum.registrations import make_incarnation_id
 from burdockdrum.registrations import Registration
-from burdockdrum.registrations import RegistrationBook
 from burdockdrum.registrations import RegistrationState
+from burdockdrum.registrations import RegistrationTable
 from tests.registrations.test_book import HERE
 from tests.registrations.test_book import SteppedClock
 from tests.registrations.test_following import play
 
 
-def make(born, *, sequence=1, state="ready", name="e1", address="e1:80"):
+def make(
+    incarnation, *, sequence=1, state="ready", name="e1", address="e1:80"
+):
     return Registration(
-        endpoint_id=name_start(name, born),
+        endpoint_id=make_incarnation_id(name, incarnation),
         service="s",
         address=address,
         data_centre="dc",
@@ -27,16 +29,16 @@
         sequence=sequence,
         state=RegistrationState(state),
         name=name,
-        born=born,
+        incarnation=incarnation,
     )
 
 
-class RestartBookTest(unittest.TestCase):
+class RestartTableTest(unittest.TestCase):
     """Several incarnations of an endpoint at one control VM."""
 
     def setUp(self):
         self.clock = SteppedClock()
-        self.table = RegistrationBook(clock=self.clock)
+        self.table = RegistrationTable(clock=self.clock)
 
     def states(self):
         changes = self.table.changes_after(0, HERE)
@@ -45,52 +47,52 @@
     def test_new_incarnation_ends_the_former_one(self):
         # The sequence of the restarted endpoint begins at one again. By the
         # sequence alone, its check-ins would be ignored as late.
-        self.table.take(make(1000, sequence=40))
-        self.assertTrue(self.table.take(make(2000, sequence=1)))
+        self.table.apply(make(1000, sequence=40))
+        self.assertTrue(self.table.apply(make(2000, sequence=1)))
         self.assertEqual(
             {"e1@1000": "gone", "e1@2000": "ready"}, self.states()
         )
 
     def test_late_check_in_of_the_former_incarnation_is_ignored(self):
-        self.table.take(make(1000, sequence=40))
-        self.table.take(make(2000, sequence=1))
+        self.table.apply(make(1000, sequence=40))
+        self.table.apply(make(2000, sequence=1))
         before = self.table.serial
-        self.assertFalse(self.table.take(make(1000, sequence=41)))
+        self.assertFalse(self.table.apply(make(1000, sequence=41)))
         self.assertFalse(
-            self.table.take(make(1000, sequence=42, state="leaving"))
+            self.table.apply(make(1000, sequence=42, state="leaving"))
         )
         self.assertEqual(before, self.table.serial)
 
     def test_older_incarnation_that_arrives_second_is_ignored(self):
-        self.table.take(make(2000))
-        self.assertFalse(self.table.take(make(1000, sequence=40)))
+        self.table.apply(make(2000))
+        self.assertFalse(self.table.apply(make(1000, sequence=40)))
         self.assertEqual({"e1@2000": "ready"}, self.states())
 
     def test_endpoint_may_restart_after_its_end(self):
-        self.table.take(make(1000))
+        self.table.apply(make(1000))
         self.table.end("e1")
-        self.assertFalse(self.table.take(make(1000, sequence=2)))
-        self.assertTrue(self.table.take(make(2000)))
+        self.assertFalse(self.table.apply(make(1000, sequence=2)))
+        self.assertTrue(self.table.apply(make(2000)))
         self.assertEqual(
             {"e1@1000": "gone", "e1@2000": "ready"}, self.states()
         )
 
     def test_end_of_the_former_incarnation_keeps_the_new_one(self):
-        self.table.take(make(1000))
-        self.table.take(make(2000))
+        self.table.apply(make(1000))
+        self.table.apply(make(2000))
         self.table.end("e1", 1000)
         self.assertEqual("ready", self.states()["e1@2000"])
 
     def test_incarnation_without_start_time_counts_as_older(self):
-        self.table.take(make(1000, sequence=3))
-        self.assertFalse(self.table.take(make(0, sequence=4)))
+        self.table.apply(make(1000, sequence=3))
+        self.assertFalse(self.table.apply(make(0, sequence=4)))
         self.assertEqual({"e1@1000": "ready"}, self.states())
 
     def test_new_incarnation_may_begin_at_any_sequence(self):
         # Its first check-ins were lost, and its sequence is above that of the
         # former incarnation.
-        self.table.take(make(1000, sequence=2))
-        self.assertTrue(self.table.take(make(2000, sequence=5)))
+        self.table.apply(make(1000, sequence=2))
+        self.assertTrue(self.table.apply(make(2000, sequence=5)))
         self.assertEqual("ready", self.states()["e1@2000"])
 
     @settings(max_examples=200, deadline=None)
@@ -99,15 +101,15 @@
         # Three incarnations, the last of which drains; their check-ins arrive
         # in any order, some of them twice.
         check_ins = [
-            make(born, sequence=sequence)
-            for born in (1000, 2000, 3000)
+            make(incarnation, sequence=sequence)
+            for incarnation in (1000, 2000, 3000)
             for sequence in range(1, 4)
         ]
         check_ins.append(make(3000, sequence=4, state="leaving"))
         arriving = check_ins + rng.sample(check_ins, 5)
         rng.shuffle(arriving)
         for registration in arriving:
-            self.table.take(registration)
+            self.table.apply(registration)
         states = self.states()
         self.assertEqual("leaving", states.pop("e1@3000"))
         self.assertLessEqual(set(states.values()), {"gone"})
@@ -125,20 +127,20 @@
         # The former incarnation is still ready at a; the new one checks in
         # at b. Entries must drop the former one and notify listeners of it.
         async def check(world):
-            world.tables["a"].take(make(1000, sequence=40))
+            world.tables["a"].apply(make(1000, sequence=40))
             await asyncio.sleep(0.5)
             ended = []
             follower = world.followers["x"]
             follower.restart_listeners.append(ended.append)
-            world.tables["b"].take(make(2000))
+            world.tables["b"].apply(make(2000))
             await asyncio.sleep(0.2)
             self.assertEqual({"e1@2000"}, set(follower.endpoints_by_id))
             self.assertEqual(["e1@1000"], ended)
-            world.tables["a"].take(make(1000, sequence=41))
+            world.tables["a"].apply(make(1000, sequence=41))
             await asyncio.sleep(1.0)
             self.assertEqual({"e1@2000"}, set(follower.endpoints_by_id))
             endpoint = follower.endpoints_by_id["e1@2000"]
-            self.assertEqual("e1", endpoint.known_as)
+            self.assertEqual("e1", endpoint.reported_id)
 
         play(check)
 
@@ -146,7 +148,7 @@
         # The end is reported at b, which does not know the endpoint, without
         # an incarnation. It must not apply to later incarnations.
         async def check(world):
-            world.tables["a"].take(make(1000))
+            world.tables["a"].apply(make(1000))
             await asyncio.sleep(0.5)
             world.tables["b"].end("e1")
             await asyncio.sleep(0.2)
@@ -157,7 +159,7 @@
             await asyncio.sleep(1)
             follower = world.followers["x"]
             self.assertEqual({}, follower.endpoints_by_id)
-            world.tables["a"].take(make(2000))
+            world.tables["a"].apply(make(2000))
             await asyncio.sleep(0.5)
             self.assertEqual({"e1@2000"}, set(follower.endpoints_by_id))
 
--- a/tests/registrations/test_store.py
+++ b/tests/registrations/test_store.py
@@ -6,13 +6,13 @@
 
 from loguru import logger
 
-from burdockdrum.registrations.book import CHECK_IN_TIMEOUT_SECONDS
-from burdockdrum.registrations.book import RegistrationBook
 from burdockdrum.registrations.messages import Registration
 from burdockdrum.registrations.messages import RegistrationState
 from burdockdrum.registrations.store import MAX_AGE_SECONDS
 from burdockdrum.registrations.store import RegistrationStore
 from burdockdrum.registrations.store import WRITE_INTERVAL_SECONDS
+from burdockdrum.registrations.table import CHECK_IN_TIMEOUT_SECONDS
+from burdockdrum.registrations.table import RegistrationTable
 from burdockdrum.testing import FakeDisk
 from burdockdrum.testing import run_virtual
 from burdockdrum.testing import VirtualClock
@@ -36,7 +36,7 @@
 
     def __init__(self, disk):
         """Start with the content of a disk."""
-        self.table = RegistrationBook(clock=VirtualClock())
+        self.table = RegistrationTable(clock=VirtualClock())
         self.store = RegistrationStore(
             clock=VirtualClock(), disk=disk, table=self.table
         )
@@ -47,9 +47,9 @@
         self.task.cancel()
         await asyncio.wait({self.task})
 
-    def live(self):
+    def ready(self):
         """Return the ids of endpoints that accept requests."""
-        return sorted(r.endpoint_id for r in self.table.live())
+        return sorted(r.endpoint_id for r in self.table.ready())
 
 
 class StoreTest(unittest.TestCase):
@@ -85,64 +85,64 @@
         # requests.
         async def before(vm):
             for number in range(10):
-                vm.table.take(make_registration(f"e{number}"))
+                vm.table.apply(make_registration(f"e{number}"))
             await asyncio.sleep(WRITE_INTERVAL_SECONDS * 2)
 
         async def after(vm):
-            self.assertEqual(10, len(vm.live()))
+            self.assertEqual(10, len(vm.ready()))
 
         self.play(before, after)
 
     def test_draining_endpoint_is_restored_as_draining(self):
         # Otherwise it would receive new requests until its next check-in.
         async def before(vm):
-            vm.table.take(make_registration("a"))
-            vm.table.take(
+            vm.table.apply(make_registration("a"))
+            vm.table.apply(
                 make_registration(
-                    "a", sequence=2, state=RegistrationState.LEAVING
+                    "a", sequence=2, state=RegistrationState.DRAINING
                 )
             )
-            vm.table.take(make_registration("b"))
+            vm.table.apply(make_registration("b"))
             await asyncio.sleep(WRITE_INTERVAL_SECONDS * 2)
 
         async def after(vm):
-            self.assertEqual(["b"], vm.live())
+            self.assertEqual(["b"], vm.ready())
             [known] = [
                 r for r in vm.table.ready_or_draining() if r.endpoint_id == "a"
             ]
-            self.assertIs(RegistrationState.LEAVING, known.state)
+            self.assertIs(RegistrationState.DRAINING, known.state)
 
         self.play(before, after)
 
     def test_endpoint_that_ended_is_not_restored(self):
         async def before(vm):
-            vm.table.take(make_registration("a"))
+            vm.table.apply(make_registration("a"))
             await asyncio.sleep(WRITE_INTERVAL_SECONDS * 2)
             vm.table.end("a")
             await asyncio.sleep(WRITE_INTERVAL_SECONDS * 2)
 
         async def after(vm):
-            self.assertEqual([], vm.live())
+            self.assertEqual([], vm.ready())
 
         self.play(before, after)
 
     def test_restored_endpoint_times_out_without_a_check_in(self):
         # The endpoint was lost in the same power failure.
         async def before(vm):
-            vm.table.take(make_registration("a"))
+            vm.table.apply(make_registration("a"))
             await asyncio.sleep(WRITE_INTERVAL_SECONDS * 2)
 
         async def after(vm):
             await asyncio.sleep(CHECK_IN_TIMEOUT_SECONDS + 0.5)
             vm.table.prune()
-            self.assertEqual([], vm.live())
+            self.assertEqual([], vm.ready())
 
         self.play(before, after)
 
     def test_check_in_takes_precedence_over_the_restored_state(self):
         # The endpoint checks in while the file is being read.
         async def before(vm):
-            vm.table.take(make_registration("a", slots=8, sequence=5))
+            vm.table.apply(make_registration("a", slots=8, sequence=5))
             await asyncio.sleep(WRITE_INTERVAL_SECONDS * 2)
 
         async def main():
@@ -150,7 +150,7 @@
             await before(vm)
             await vm.stop()
             vm = ControlVm(self.disk)
-            vm.table.take(make_registration("a", slots=4, sequence=6))
+            vm.table.apply(make_registration("a", slots=4, sequence=6))
             await asyncio.sleep(0.05)
             [known] = vm.table.ready_or_draining()
             self.assertEqual(4, known.slots)
@@ -161,23 +161,23 @@
     def test_new_incarnation_replaces_the_restored_one(self):
         # The endpoint lost its power as well and restarts under the same id.
         async def before(vm):
-            vm.table.take(make_registration("a 1", name="a", born=1))
+            vm.table.apply(make_registration("a 1", name="a", incarnation=1))
             await asyncio.sleep(WRITE_INTERVAL_SECONDS * 2)
 
         async def after(vm):
-            vm.table.take(make_registration("a 2", name="a", born=2))
-            self.assertEqual(["a 2"], vm.live())
+            vm.table.apply(make_registration("a 2", name="a", incarnation=2))
+            self.assertEqual(["a 2"], vm.ready())
 
         self.play(before, after)
 
     def test_old_or_corrupt_file_is_ignored(self):
         # The VM must start with an empty table instead of failing.
         async def before(vm):
-            vm.table.take(make_registration("a"))
+            vm.table.apply(make_registration("a"))
             await asyncio.sleep(WRITE_INTERVAL_SECONDS * 2)
 
         async def after(vm):
-            self.assertEqual([], vm.live())
+            self.assertEqual([], vm.ready())
             self.assertFalse(vm.task.done())
 
         self.play(before, after, down_seconds=MAX_AGE_SECONDS + 1)
@@ -190,23 +190,23 @@
         async def main():
             vm = ControlVm(self.disk)
             self.disk.fail_syncs = True
-            vm.table.take(make_registration("a"))
+            vm.table.apply(make_registration("a"))
             await asyncio.sleep(WRITE_INTERVAL_SECONDS * 2)
             self.assertTrue(vm.task.done())
             self.assertIsNone(vm.task.exception())
-            vm.table.take(make_registration("b"))
-            self.assertEqual(["a", "b"], vm.live())
+            vm.table.apply(make_registration("b"))
+            self.assertEqual(["a", "b"], vm.ready())
 
         run_virtual(main())
 
     def test_check_ins_without_news_write_nothing(self):
         async def main():
             vm = ControlVm(self.disk)
-            vm.table.take(make_registration("a"))
+            vm.table.apply(make_registration("a"))
             await asyncio.sleep(WRITE_INTERVAL_SECONDS * 2)
             syncs = self.disk.syncs
             for number in range(2, 12):
-                vm.table.take(make_registration("a", sequence=number))
+                vm.table.apply(make_registration("a", sequence=number))
                 await asyncio.sleep(1.2)
             self.assertEqual(syncs, self.disk.syncs)
             await vm.stop()
