--- a/burdockdrum/passthrough/services.py
+++ b/burdockdrum/passthrough/services.py
@@ -6,8 +6,8 @@
 
 from burdockdrum.callers import CallerFinder
 from burdockdrum.configuration import ConfigurationService
-from burdockdrum.holdings import HoldingsLedger
-from burdockdrum.holdings import HoldingsSharing
+from burdockdrum.holdings import PrefixCacheSharing
+from burdockdrum.holdings import PrefixCacheTable
 from burdockdrum.http1 import ConnectionPool
 from burdockdrum.http1 import Limits
 from burdockdrum.http1 import Listener
@@ -70,21 +70,21 @@
         rng=kernel.find("random", random.Random),
         read_endpoints=lambda: registrations.endpoints_by_id,
         read_load=sharing.load_of,
-        read_unreported_entries=lambda: sharing.unheard,
-        read_load_age=lambda: sharing.lag,
+        read_unreported_entries=lambda: sharing.unreported_entries,
+        read_load_age=lambda: sharing.load_age_seconds,
         drop_endpoint=registrations.drop,
-        prefix_cache_table=kernel.find("holdings", HoldingsLedger),
-        note_shared=kernel.find(
-            "holdings_sharing", HoldingsSharing
-        ).note_shared,
+        prefix_cache_table=kernel.find("holdings", PrefixCacheTable),
+        mark_shared=kernel.find(
+            "holdings_sharing", PrefixCacheSharing
+        ).mark_shared,
         read_region=topology.regions_by_data_centre.get,
         mechanisms=settings.policy.mechanisms,
         data_centre=kernel.find("identity", VmIdentity).data_centre,
         crossing_seconds=settings.policy.crossing_seconds_a_megabyte,
     )
     sharing.read_load = fleet.read_own_load
-    sharing.take_placed = fleet.prefix_cache_view.pop_notices
-    sharing.hear_placed = fleet.prefix_cache_view.record_notices
+    sharing.pop_placed = fleet.prefix_cache_view.pop_notices
+    sharing.receive_placed = fleet.prefix_cache_view.record_notices
     return fleet
 
 
@@ -123,7 +123,7 @@
         rng=kernel.find("random", random.Random),
         fleet=kernel.find("fleet", Fleet),
         region=identity.region,
-        read_capacities=lambda: sharing.rooms,
+        read_capacities=lambda: sharing.capacities,
         read_entries=read_entries,
         read_closed_data_centres=lambda: (
             configuration.current.evacuated_data_centres
