--- a/burdockdrum/histories/checkers.py
+++ b/burdockdrum/histories/checkers.py
@@ -289,13 +289,13 @@
     for vm_id, seen in last.items():
         values = dict(seen.values)
         for name, (revision, value) in newest.items():
-            held = values.get(name)
-            if seen.revision >= revision and held == value:
+            current = values.get(name)
+            if seen.revision >= revision and current == value:
                 continue
             if seen.time < history.ended_at - 1.0:
                 continue
             violations.append(
-                f"{vm_id} at revision {seen.revision} holds {held!r} for "
+                f"{vm_id} at revision {seen.revision} has {current!r} for "
                 f"{name}, accepted as {value!r} at {revision}"
             )
     return violations
--- a/burdockdrum/histories/events.py
+++ b/burdockdrum/histories/events.py
@@ -1,6 +1,6 @@
 """Events that are recorded in a history.
 
-Times are seconds of the event loop's clock, which VM clock skew leaves alone.
+Times are seconds of the event loop's clock, without the skew of VM clocks.
 """
 
 from dataclasses import dataclass
