--- a/burdockdrum/claims/__init__.py
+++ b/burdockdrum/claims/__init__.py
@@ -1,15 +1,15 @@
 """Claims on idempotency keys, by which a request runs at most once."""
 
 from burdockdrum.claims.claims import Claim
-from burdockdrum.claims.claims import Claims
+from burdockdrum.claims.claims import ClaimService
 from burdockdrum.claims.coordinator import StoredAnswer
-from burdockdrum.claims.keeper import RETENTION_SECONDS
+from burdockdrum.claims.replica import RETENTION_SECONDS
 from burdockdrum.claims.services import add_services
 
 __all__ = [
     "add_services",
     "Claim",
-    "Claims",
+    "ClaimService",
     "RETENTION_SECONDS",
     "StoredAnswer",
 ]
--- a/burdockdrum/claims/claims.py
+++ b/burdockdrum/claims/claims.py
@@ -12,7 +12,6 @@
 
 from burdockdrum.claims.coordinator import Coordinator
 from burdockdrum.claims.coordinator import StoredAnswer
-from burdockdrum.claims.keeper import ClaimReplica
 from burdockdrum.claims.messages import AcquireCall
 from burdockdrum.claims.messages import AcquireOutcome
 from burdockdrum.claims.messages import AcquireReply
@@ -27,6 +26,7 @@
 from burdockdrum.claims.messages import VoteCall
 from burdockdrum.claims.recovery import Recovery
 from burdockdrum.claims.refusals import replay_or_refuse
+from burdockdrum.claims.replica import ClaimReplica
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.peers import CallFailed
 from burdockdrum.peers import Message
@@ -51,7 +51,7 @@
     """A granted claim, which the request's entry VM settles exactly once."""
 
     def __init__(
-        self, *, claims: "Claims", record: ClaimRecord, home_region: str
+        self, *, claims: "ClaimService", record: ClaimRecord, home_region: str
     ) -> None:
         """Wrap the record of a granted claim."""
         self._claims = claims
@@ -62,11 +62,11 @@
         """Release the key: the request provably did not run."""
         await self._settle(None)
 
-    async def lose(self) -> None:
+    async def mark_lost(self) -> None:
         """Record that the request may have run and its answer is lost."""
         await self._settle(ClaimState.LOST)
 
-    async def keep(self, answer: StoredAnswer | None) -> None:
+    async def mark_ran(self, answer: StoredAnswer | None) -> None:
         """Record that the request ran, and store its answer for replays.
 
         :param answer: None if the answer was streamed
@@ -90,7 +90,7 @@
         await self._claims.settle(call, self._home_region)
 
 
-class Claims:
+class ClaimService:
     """Acquire claims in any region and serve the claim calls of this one."""
 
     def __init__(
@@ -132,7 +132,7 @@
         peers.register(RecoverCall, self._handle_recover)
         peers.register(EpochCall, self._handle_epoch)
 
-    async def take(
+    async def acquire(
         self,
         *,
         client_id: str,
--- a/burdockdrum/claims/rivals.py
+++ b/burdockdrum/claims/conflicts.py
@@ -6,8 +6,8 @@
 is left.
 """
 
-from burdockdrum.claims.book import ClaimId
 from burdockdrum.claims.messages import ClaimRecord
+from burdockdrum.claims.table import ClaimId
 
 
 class ConflictingClaims:
--- a/burdockdrum/claims/coordinator.py
+++ b/burdockdrum/claims/coordinator.py
@@ -11,7 +11,6 @@
 from dataclasses import dataclass
 import random
 
-from burdockdrum.claims.keeper import ClaimReplica
 from burdockdrum.claims.messages import AcquireOutcome
 from burdockdrum.claims.messages import AcquireReply
 from burdockdrum.claims.messages import ClaimRecord
@@ -24,6 +23,7 @@
 from burdockdrum.claims.messages import VoteOutcome
 from burdockdrum.claims.messages import VoteReply
 from burdockdrum.claims.recovery import majority
+from burdockdrum.claims.replica import ClaimReplica
 from burdockdrum.claims.tickets import make_ticket
 from burdockdrum.peers import CallFailed
 from burdockdrum.peers import Peers
--- a/burdockdrum/claims/recovery.py
+++ b/burdockdrum/claims/recovery.py
@@ -2,7 +2,6 @@
 
 import asyncio
 
-from burdockdrum.claims.keeper import ClaimReplica
 from burdockdrum.claims.messages import ClaimRecord
 from burdockdrum.claims.messages import Epoch
 from burdockdrum.claims.messages import EpochCall
@@ -10,6 +9,7 @@
 from burdockdrum.claims.messages import NO_EPOCH
 from burdockdrum.claims.messages import RecoverCall
 from burdockdrum.claims.messages import RecoverReply
+from burdockdrum.claims.replica import ClaimReplica
 from burdockdrum.peers import CallFailed
 from burdockdrum.peers import Peers
 from burdockdrum.ports import Clock
--- a/burdockdrum/claims/keeper.py
+++ b/burdockdrum/claims/replica.py
@@ -10,7 +10,7 @@
   Replication Revisited", 2012, recovery). The others then name its new
   incarnation in their votes, so its votes from before the restart no longer
   count beside theirs. If they know several owners of a key, it stores all of
-  them (see ``rivals``).
+  them (see ``conflicts``).
 - If too many replicas lost their memory, a new epoch begins. In it an unknown
   key gets a vote only if it is provably from this epoch: it is a ticket, or
   its client was created in this epoch.
@@ -21,7 +21,7 @@
 from loguru import logger
 import msgspec
 
-from burdockdrum.claims.book import ClaimTable
+from burdockdrum.claims.conflicts import ConflictingClaims
 from burdockdrum.claims.log import ClaimLog
 from burdockdrum.claims.log import ClientCreated
 from burdockdrum.claims.log import Entry
@@ -40,7 +40,7 @@
 from burdockdrum.claims.messages import VoteCall
 from burdockdrum.claims.messages import VoteOutcome
 from burdockdrum.claims.messages import VoteReply
-from burdockdrum.claims.rivals import ConflictingClaims
+from burdockdrum.claims.table import ClaimTable
 from burdockdrum.claims.tickets import is_ticket_of
 from burdockdrum.peers import VmIdentity
 from burdockdrum.ports import Clock
--- a/burdockdrum/claims/services.py
+++ b/burdockdrum/claims/services.py
@@ -2,9 +2,9 @@
 
 import random
 
-from burdockdrum.claims.claims import Claims
-from burdockdrum.claims.keeper import ClaimReplica
+from burdockdrum.claims.claims import ClaimService
 from burdockdrum.claims.log import ClaimLog
+from burdockdrum.claims.replica import ClaimReplica
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.kernel import Kernel
 from burdockdrum.peers import Peers
@@ -21,7 +21,7 @@
     kernel.add("claims", _build_claims)
 
 
-def _build_claims(kernel: Kernel) -> Claims:
+def _build_claims(kernel: Kernel) -> ClaimService:
     settings = kernel.find("settings", Settings)
     # If the region has no claim replicas of its own, the control VMs of all
     # regions serve: safe, but unavailable in a minority partition.
@@ -29,7 +29,7 @@
     replica: ClaimReplica | None = None
     if settings.vm.id in addresses_by_id:
         replica = _build_replica(kernel, sorted(addresses_by_id))
-    return Claims(
+    return ClaimService(
         peers=kernel.find("peers", Peers),
         clock=kernel.find("clock", Clock),
         rng=kernel.find("random", random.Random),
--- a/burdockdrum/requests/service.py
+++ b/burdockdrum/requests/service.py
@@ -5,7 +5,7 @@
 
 from burdockdrum.admission import Permit
 from burdockdrum.claims import Claim
-from burdockdrum.claims import Claims
+from burdockdrum.claims import ClaimService
 from burdockdrum.claims import StoredAnswer
 from burdockdrum.requests.buffered import fetch_whole
 from burdockdrum.requests.exchange import Exchange
@@ -31,7 +31,7 @@
     """Returns one complete answer or a refusal for each request."""
 
     def __init__(
-        self, *, services: ExchangeServices, claims: Claims, drain: Drain
+        self, *, services: ExchangeServices, claims: ClaimService, drain: Drain
     ) -> None:
         """Create the service."""
         self._services = services
@@ -91,7 +91,7 @@
         if request.hops:
             # The forwarding entry VM holds the claim and stores the answer.
             return await self._serve(request)
-        claim = await self._claims.take(
+        claim = await self._claims.acquire(
             client_id=request.client_id,
             key=request.idempotency_key or "",
             fingerprint=request.fingerprint,
@@ -116,7 +116,7 @@
                 headers=answer.headers,
                 body=answer.body,
             )
-            await claim.keep(stored)
+            await claim.mark_ran(stored)
             return answer
         return Answer(
             status=answer.status,
@@ -235,9 +235,9 @@
         case Verdict.NOT_RUN:
             await claim.release()
         case Verdict.MAY_HAVE_RUN:
-            await claim.lose()
+            await claim.mark_lost()
         case Verdict.RAN:
-            await claim.keep(None)
+            await claim.mark_ran(None)
 
 
 async def _close(body: AsyncIterator[bytes]) -> None:
--- a/burdockdrum/requests/services.py
+++ b/burdockdrum/requests/services.py
@@ -1,7 +1,7 @@
 """Registration of this package's services in the kernel."""
 
 from burdockdrum.admission import AdmissionControl
-from burdockdrum.claims import Claims
+from burdockdrum.claims import ClaimService
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.kernel import Kernel
 from burdockdrum.metrics import Metrics
@@ -55,6 +55,6 @@
     )
     return RequestService(
         services=services,
-        claims=kernel.find("claims", Claims),
+        claims=kernel.find("claims", ClaimService),
         drain=kernel.find("drain", Drain),
     )
--- a/burdockdrum/web/caller_handlers.py
+++ b/burdockdrum/web/caller_handlers.py
@@ -6,7 +6,7 @@
 from blacksheep.messages import Response
 import msgspec
 
-from burdockdrum.claims import Claims
+from burdockdrum.claims import ClaimService
 from burdockdrum.claims import RETENTION_SECONDS
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.ports import Clock
@@ -68,7 +68,7 @@
         authenticator: Authenticator,
         configuration: ConfigurationService,
         requests: RequestService,
-        claims: Claims,
+        claims: ClaimService,
         vms: VmDirectory,
     ) -> None:
         """Create the handlers."""
--- a/burdockdrum/web/services.py
+++ b/burdockdrum/web/services.py
@@ -5,7 +5,7 @@
 from blacksheep import Application
 
 from burdockdrum.callers import CallerFinder
-from burdockdrum.claims import Claims
+from burdockdrum.claims import ClaimService
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.consensus import ReplicatedLog
 from burdockdrum.endpoints import EndpointRegistry
@@ -74,7 +74,7 @@
         authenticator=authenticator,
         configuration=kernel.find("configuration", ConfigurationService),
         requests=kernel.find("requests", RequestService),
-        claims=kernel.find("claims", Claims),
+        claims=kernel.find("claims", ClaimService),
         vms=kernel.find("vms", VmDirectory),
     )
 
--- a/tests/claims/test_rivals.py
+++ b/tests/claims/test_conflicts.py
@@ -14,7 +14,7 @@
 from tests.claims.test_keeper import vote
 
 
-class RivalTest(unittest.TestCase):
+class ConflictingClaimsTest(unittest.TestCase):
     """A replica without a disk recovers two owners of one key.
 
     Replica a voted for the first owner, as b did, and lost that vote. Replica
--- a/tests/claims/test_keeper.py
+++ b/tests/claims/test_keeper.py
@@ -5,12 +5,7 @@
 import types
 import unittest
 
-from burdockdrum.claims.book import ClaimTable
-from burdockdrum.claims.book import MAX_ANSWER_BYTES
-from burdockdrum.claims.book import MAX_TOTAL_ANSWER_BYTES
 from burdockdrum.claims.coordinator import count_valid_votes
-from burdockdrum.claims.keeper import ClaimReplica
-from burdockdrum.claims.keeper import RETENTION_SECONDS
 from burdockdrum.claims.log import ClaimLog
 from burdockdrum.claims.log import FILE
 from burdockdrum.claims.messages import ClaimRecord
@@ -24,6 +19,11 @@
 from burdockdrum.claims.recovery import majority
 from burdockdrum.claims.recovery import Recovery
 from burdockdrum.claims.recovery import recovery_quorum
+from burdockdrum.claims.replica import ClaimReplica
+from burdockdrum.claims.replica import RETENTION_SECONDS
+from burdockdrum.claims.table import ClaimTable
+from burdockdrum.claims.table import MAX_ANSWER_BYTES
+from burdockdrum.claims.table import MAX_TOTAL_ANSWER_BYTES
 from burdockdrum.claims.tickets import make_ticket
 from burdockdrum.peers import VmIdentity
 from burdockdrum.testing import FakeDisk
@@ -301,7 +301,7 @@
                 self.assertGreater(rest + recovery_quorum(size), others)
 
 
-class BookTest(unittest.TestCase):
+class ClaimTableTest(unittest.TestCase):
     """The bounds and pages of the claim table."""
 
     def test_answers_are_evicted_and_claims_kept(self):
--- a/tests/histories/test_checkers.py
+++ b/tests/histories/test_checkers.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest import mock
 
-from burdockdrum.claims import Claims
+from burdockdrum.claims import ClaimService
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.endpoints import Endpoint
 from burdockdrum.endpoints import EndpointRegistry
@@ -159,10 +159,10 @@
 
     def test_at_most_once(self):
         # Claims are granted and forgotten at once.
-        original = Claims.take
+        original = ClaimService.acquire
         count = iter(range(1000))
 
-        async def forget(claims: Claims, **options):
+        async def forget(claims: ClaimService, **options):
             options["key"] = f"{options['key']}-{next(count)}"
             return await original(claims, **options)
 
@@ -174,7 +174,7 @@
             )
             for number, region in enumerate([*REGIONS, *REGIONS])
         ]
-        history = run(plan, (Claims, "take", forget))
+        history = run(plan, (ClaimService, "acquire", forget))
         self.assert_found("at most once", history)
 
     def test_leaving(self):
