--- a/burdockdrum/peers/__init__.py
+++ b/burdockdrum/peers/__init__.py
@@ -1,11 +1,11 @@
 """Typed messages between the VMs of the system."""
 
+from burdockdrum.peers.authentication import PayloadAuthenticator
 from burdockdrum.peers.identity import VmIdentity
 from burdockdrum.peers.messages import Message
 from burdockdrum.peers.messages import Sender
 from burdockdrum.peers.peers import CallFailed
 from burdockdrum.peers.peers import Peers
-from burdockdrum.peers.seal import Seal
 from burdockdrum.peers.services import add_services
 from burdockdrum.peers.traffic import Distance
 from burdockdrum.peers.traffic import Traffic
@@ -16,7 +16,7 @@
     "Distance",
     "Message",
     "Peers",
-    "Seal",
+    "PayloadAuthenticator",
     "Sender",
     "Traffic",
     "VmIdentity",
--- a/burdockdrum/peers/seal.py
+++ b/burdockdrum/peers/authentication.py
@@ -7,7 +7,7 @@
 _VERSION = b"\x01"
 
 
-class Seal:
+class PayloadAuthenticator:
     """Authenticates payloads with a keyed BLAKE2b tag.
 
     The control port accepts connections from anyone who can reach the VM.
@@ -19,16 +19,16 @@
         """Derive the key from the cluster's shared secret."""
         self._key = hashlib.blake2b(secret, digest_size=32).digest()
 
-    def close(self, payload: bytes) -> bytes:
+    def sign(self, payload: bytes) -> bytes:
         """Return a payload with version and tag prepended."""
         return _VERSION + self._tag(payload) + payload
 
-    def open(self, sealed: bytes) -> bytes | None:
+    def verify(self, signed: bytes) -> bytes | None:
         """Verify and remove the tag; return None if it is invalid."""
-        if len(sealed) <= 1 + TAG_BYTES or sealed[:1] != _VERSION:
+        if len(signed) <= 1 + TAG_BYTES or signed[:1] != _VERSION:
             return None
-        tag = sealed[1 : 1 + TAG_BYTES]
-        payload = sealed[1 + TAG_BYTES :]
+        tag = signed[1 : 1 + TAG_BYTES]
+        payload = signed[1 + TAG_BYTES :]
         if not hmac.compare_digest(tag, self._tag(payload)):
             return None
         return payload
--- a/burdockdrum/peers/peers.py
+++ b/burdockdrum/peers/peers.py
@@ -17,16 +17,16 @@
 import msgspec
 
 from burdockdrum.metrics import Metrics
+from burdockdrum.peers.authentication import PayloadAuthenticator
+from burdockdrum.peers.compression import pack
+from burdockdrum.peers.compression import unpack
+from burdockdrum.peers.compression import UnpackError
 from burdockdrum.peers.identity import VmIdentity
-from burdockdrum.peers.link_watch import LinkMonitor
+from burdockdrum.peers.link_monitor import LinkMonitor
 from burdockdrum.peers.messages import Envelope
 from burdockdrum.peers.messages import Frame
 from burdockdrum.peers.messages import Message
 from burdockdrum.peers.messages import Sender
-from burdockdrum.peers.packing import pack
-from burdockdrum.peers.packing import unpack
-from burdockdrum.peers.packing import UnpackError
-from burdockdrum.peers.seal import Seal
 from burdockdrum.peers.traffic import Traffic
 from burdockdrum.ports import Clock
 from burdockdrum.ports import Mailbox
@@ -63,7 +63,7 @@
         clock: Clock,
         hybrid_clock: HybridClock,
         rng: random.Random,
-        seal: Seal,
+        authenticator: PayloadAuthenticator,
         metrics: Metrics,
     ) -> None:
         """Create the service over an open mailbox."""
@@ -71,7 +71,7 @@
         self._mailbox = mailbox
         self._clock = clock
         self._hybrid_clock = hybrid_clock
-        self._seal = seal
+        self._authenticator = authenticator
         self._handlers_by_kind: dict[str, tuple[type[Message], Handler]] = {}
         self._outboxes_by_address: dict[str, _Outbox] = {}
         self._inboxes_by_sender: dict[str, asyncio.Queue] = {}
@@ -206,7 +206,7 @@
             envelopes,
             self._link_monitor.received_age(address, now),
         )
-        payload = self._seal.close(pack(msgspec.msgpack.encode(frame)))
+        payload = self._authenticator.sign(pack(msgspec.msgpack.encode(frame)))
         self._bytes.increment(len(payload), way="out")
         self._frames.increment(way="out")
         self.traffic.record_frame(address, envelopes, len(payload))
@@ -218,10 +218,10 @@
     async def _receive(self) -> None:
         decoder = msgspec.msgpack.Decoder(Frame)
         while True:
-            sealed = await self._mailbox.receive()
-            self._bytes.increment(len(sealed), way="in")
+            signed = await self._mailbox.receive()
+            self._bytes.increment(len(signed), way="in")
             self._frames.increment(way="in")
-            payload = self._seal.open(sealed)
+            payload = self._authenticator.verify(signed)
             if payload is None:
                 self._dropped.increment(reason="bad_seal")
                 continue
--- a/burdockdrum/requests/__init__.py
+++ b/burdockdrum/requests/__init__.py
@@ -6,7 +6,7 @@
 
 from burdockdrum.requests.attempts import VERDICT_HEADER
 from burdockdrum.requests.forwarding import FORWARD_HEADER
-from burdockdrum.requests.forwarding import open_header
+from burdockdrum.requests.forwarding import verify_header
 from burdockdrum.requests.model import Answer
 from burdockdrum.requests.model import InboundRequest
 from burdockdrum.requests.model import RequestKind
@@ -18,8 +18,8 @@
     "Answer",
     "FORWARD_HEADER",
     "InboundRequest",
-    "open_header",
     "RequestKind",
     "RequestService",
     "VERDICT_HEADER",
+    "verify_header",
 ]
--- a/burdockdrum/requests/forwarding.py
+++ b/burdockdrum/requests/forwarding.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from burdockdrum.peers import Seal
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.requests.model import InboundRequest
 from burdockdrum.requests.model import RequestKind
 
@@ -109,30 +109,34 @@
         )
 
 
-class _Sealed(msgspec.Struct, frozen=True, array_like=True):
+class _SignedHeader(msgspec.Struct, frozen=True, array_like=True):
     body_digest: bytes
     header: ForwardHeader
 
 
-def seal_header(seal: Seal, header: ForwardHeader, body: bytes) -> str:
+def sign_header(
+    authenticator: PayloadAuthenticator, header: ForwardHeader, body: bytes
+) -> str:
     """Encode and authenticate a header and the digest of its body."""
-    sealed = _Sealed(_digest(body), header)
-    payload = seal.close(msgspec.msgpack.encode(sealed))
+    content = _SignedHeader(_digest(body), header)
+    payload = authenticator.sign(msgspec.msgpack.encode(content))
     return base64.urlsafe_b64encode(payload).decode()
 
 
-def open_header(seal: Seal, text: str, body: bytes) -> ForwardHeader | None:
+def verify_header(
+    authenticator: PayloadAuthenticator, text: str, body: bytes
+) -> ForwardHeader | None:
     """Decode a header; return None if it or the body is not authentic."""
     try:
-        payload = seal.open(base64.urlsafe_b64decode(text))
+        payload = authenticator.verify(base64.urlsafe_b64decode(text))
         if payload is None:
             return None
-        sealed = msgspec.msgpack.decode(payload, type=_Sealed)
+        content = msgspec.msgpack.decode(payload, type=_SignedHeader)
     except (ValueError, msgspec.MsgspecError):
         return None
-    if sealed.body_digest != _digest(body):
+    if content.body_digest != _digest(body):
         return None
-    return sealed.header
+    return content.header
 
 
 def _digest(body: bytes) -> bytes:
--- a/burdockdrum/requests/services.py
+++ b/burdockdrum/requests/services.py
@@ -5,7 +5,7 @@
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.kernel import Kernel
 from burdockdrum.metrics import Metrics
-from burdockdrum.peers import Seal
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.peers import VmIdentity
 from burdockdrum.ports import Clock
 from burdockdrum.ports import HttpClient
@@ -34,7 +34,7 @@
     opener = UpstreamOpener(
         http=kernel.find("http", HttpClient),
         clock=clock,
-        seal=kernel.find("seal", Seal),
+        authenticator=kernel.find("seal", PayloadAuthenticator),
         data_centre=identity.data_centre,
         timeouts=IdleTimeouts(
             first_token=attempts.first_token_seconds,
--- a/burdockdrum/requests/upstreams.py
+++ b/burdockdrum/requests/upstreams.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from burdockdrum.endpoints import Endpoint
-from burdockdrum.peers import Seal
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.peers import VmIdentity
 from burdockdrum.ports import AnswerLost
 from burdockdrum.ports import Clock
@@ -22,7 +22,7 @@
 from burdockdrum.requests.attempts import Upstream
 from burdockdrum.requests.forwarding import FORWARD_HEADER
 from burdockdrum.requests.forwarding import ForwardHeader
-from burdockdrum.requests.forwarding import seal_header
+from burdockdrum.requests.forwarding import sign_header
 from burdockdrum.requests.model import InboundRequest
 from burdockdrum.requests.model import RequestKind
 from burdockdrum.routing import Attempt
@@ -53,14 +53,14 @@
         *,
         http: HttpClient,
         clock: Clock,
-        seal: Seal,
+        authenticator: PayloadAuthenticator,
         data_centre: str,
         timeouts: IdleTimeouts,
     ) -> None:
         """Create an opener for a VM of the given data centre."""
         self._http = http
         self._clock = clock
-        self._seal = seal
+        self._authenticator = authenticator
         self._data_centre = data_centre
         self._timeouts = timeouts
         self._cancellations: set[asyncio.Task[None]] = set()
@@ -144,7 +144,9 @@
             url=entry.http_address + "/v1/forward",
             headers={
                 "content-type": request.content_type,
-                FORWARD_HEADER: seal_header(self._seal, header, request.body),
+                FORWARD_HEADER: sign_header(
+                    self._authenticator, header, request.body
+                ),
             },
             body=request.body,
             connect_timeout=min(CONNECT_SECONDS, remaining),
--- a/burdockdrum/resources/digest.py
+++ b/burdockdrum/resources/digest.py
@@ -3,7 +3,7 @@
 The sum of a hash of each resource is independent of their order and is
 updated in constant time (Bellare and Micciancio, "A New Paradigm for
 Collision-Free Hashing: Incrementality at Reduced Cost", 1997). It detects
-faults, not attacks: messages of peers are authenticated by their seal.
+faults, not attacks: messages of peers are authenticated by a MAC.
 """
 
 import hashlib
--- a/burdockdrum/testing/peers.py
+++ b/burdockdrum/testing/peers.py
@@ -3,8 +3,8 @@
 import random
 
 from burdockdrum.metrics import Metrics
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.peers import Peers
-from burdockdrum.peers import Seal
 from burdockdrum.peers import VmIdentity
 from burdockdrum.ports import Clock
 from burdockdrum.ports import Mailbox
@@ -33,6 +33,6 @@
         clock=clock,
         hybrid_clock=HybridClock(clock=clock),
         rng=random.Random(2),
-        seal=Seal(secret=secret),
+        authenticator=PayloadAuthenticator(secret=secret),
         metrics=metrics or Metrics(),
     )
--- a/burdockdrum/web/peer_handlers.py
+++ b/burdockdrum/web/peer_handlers.py
@@ -3,11 +3,11 @@
 from blacksheep.messages import Request
 from blacksheep.messages import Response
 
-from burdockdrum.peers import Seal
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.ports import Clock
 from burdockdrum.requests import FORWARD_HEADER
-from burdockdrum.requests import open_header
 from burdockdrum.requests import RequestService
+from burdockdrum.requests import verify_header
 from burdockdrum.settings import Settings
 from burdockdrum.verdicts import Refusal
 from burdockdrum.verdicts import RefusalCode
@@ -24,13 +24,13 @@
         self,
         *,
         settings: Settings,
-        seal: Seal,
+        payload_authenticator: PayloadAuthenticator,
         clock: Clock,
         requests: RequestService,
     ) -> None:
         """Create the handler."""
         self._limit = settings.limits.body_bytes
-        self._seal = seal
+        self._payload_authenticator = payload_authenticator
         self._clock = clock
         self._requests = requests
 
@@ -42,11 +42,11 @@
         """
         body = await read_body(request, self._limit)
         text = header(request, FORWARD_HEADER) or ""
-        forwarded = open_header(self._seal, text, body)
+        forwarded = verify_header(self._payload_authenticator, text, body)
         if forwarded is None:
             raise Refusal(
                 code=RefusalCode.UNAUTHENTICATED,
-                message="the forward header is missing or has no valid seal",
+                message="the forward header is missing or not authentic",
                 verdict=Verdict.NOT_RUN,
             )
         inbound = forwarded.to_request(body, now=self._clock.monotonic())
--- a/burdockdrum/web/services.py
+++ b/burdockdrum/web/services.py
@@ -11,7 +11,7 @@
 from burdockdrum.endpoints import EndpointRegistry
 from burdockdrum.kernel import Kernel
 from burdockdrum.metrics import Metrics
-from burdockdrum.peers import Seal
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.ports import Clock
 from burdockdrum.quarantine import Quarantine
 from burdockdrum.requests import RequestService
@@ -56,7 +56,7 @@
         ),
         peers=PeerHandlers(
             settings=kernel.find("settings", Settings),
-            seal=kernel.find("seal", Seal),
+            payload_authenticator=kernel.find("seal", PayloadAuthenticator),
             clock=kernel.find("clock", Clock),
             requests=kernel.find("requests", RequestService),
         ),
--- a/scripts/bench/control_plane.py
+++ b/scripts/bench/control_plane.py
@@ -13,8 +13,8 @@
 from burdockdrum.leases import LeaseKeeper
 from burdockdrum.leases import LeaseService
 from burdockdrum.metrics import Metrics
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.peers import Peers
-from burdockdrum.peers import Seal
 from burdockdrum.peers import VmIdentity
 from burdockdrum.resources import Configuration
 from burdockdrum.testing import FakeDisk
@@ -59,7 +59,7 @@
             clock=clock,
             hybrid_clock=hybrid_clock,
             rng=rng,
-            seal=Seal(secret=b"sixteen characters"),
+            authenticator=PayloadAuthenticator(secret=b"sixteen characters"),
             metrics=metrics,
         )
         timeline = Timeline(
--- a/scripts/bench/real_members.py
+++ b/scripts/bench/real_members.py
@@ -7,8 +7,8 @@
 from burdockdrum.consensus import LogSettings
 from burdockdrum.consensus import ReplicatedLog
 from burdockdrum.metrics import Metrics
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.peers import Peers
-from burdockdrum.peers import Seal
 from burdockdrum.peers import VmIdentity
 from burdockdrum.system_ports import FolderDisk
 from burdockdrum.system_ports import PynngNetwork
@@ -70,7 +70,7 @@
             clock=clock,
             hybrid_clock=hybrid,
             rng=random.Random(),
-            seal=Seal(secret=b"measurement"),
+            authenticator=PayloadAuthenticator(secret=b"measurement"),
             metrics=self.metrics,
         )
         self.log = ReplicatedLog(
--- a/scripts/bench/team_limits.py
+++ b/scripts/bench/team_limits.py
@@ -26,8 +26,8 @@
 from burdockdrum.callers import RankOrder
 from burdockdrum.callers import route_for
 from burdockdrum.metrics import Metrics
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.peers import Peers
-from burdockdrum.peers import Seal
 from burdockdrum.peers import Sender
 from burdockdrum.peers import VmIdentity
 from burdockdrum.quotas.messages import DataCentreUsage
@@ -119,7 +119,7 @@
             clock=self.clock,
             hybrid_clock=HybridClock(clock=self.clock),
             rng=self.rng,
-            seal=Seal(secret=b"s"),
+            authenticator=PayloadAuthenticator(secret=b"s"),
             metrics=Metrics(),
         )
         self.sharing = UsageSharing(
--- a/tests/consensus/cluster.py
+++ b/tests/consensus/cluster.py
@@ -11,8 +11,8 @@
 from burdockdrum.consensus import LogSettings
 from burdockdrum.consensus import ReplicatedLog
 from burdockdrum.metrics import Metrics
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.peers import Peers
-from burdockdrum.peers import Seal
 from burdockdrum.peers import VmIdentity
 from burdockdrum.ports import Disk
 from burdockdrum.ports import DiskError
@@ -140,7 +140,7 @@
             clock=vm.clock,
             hybrid_clock=hybrid,
             rng=random.Random(vm.rng.random()),
-            seal=Seal(secret=b"s"),
+            authenticator=PayloadAuthenticator(secret=b"s"),
             metrics=vm.metrics,
         )
         vm.machine = self.make_machine(vm_id)
--- a/tests/fuzzing/test_peer_messages.py
+++ b/tests/fuzzing/test_peer_messages.py
@@ -10,7 +10,7 @@
 
 from burdockdrum.metrics import Metrics
 from burdockdrum.peers import Message
-from burdockdrum.peers import Seal
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.testing import FakeNetwork
 from burdockdrum.testing import make_peers
 from burdockdrum.testing import run_virtual
@@ -60,11 +60,13 @@
 
 
 def make_frame(note: Note) -> bytes:
-    """Return a sealed frame that holds one message."""
+    """Return a signed frame that holds one message."""
     body = msgspec.Raw(msgspec.msgpack.encode(note))
     envelope = (Note.kind(), 0, False, body)
     frame = ("other", "mem://other:1", 1, (0, 0), [envelope])
-    return Seal(secret=SECRET).close(msgspec.msgpack.encode(frame))
+    return PayloadAuthenticator(secret=SECRET).sign(
+        msgspec.msgpack.encode(frame)
+    )
 
 
 class PeerMessageTest(unittest.TestCase):
@@ -81,8 +83,8 @@
     @given(strategies.binary(max_size=200))
     def test_sealed_garbage(self, content):
         # A VM of another version, or one gone wrong, holds the secret: its
-        # seal fits, what is inside does not decode.
-        payload = Seal(secret=SECRET).close(content)
+        # tag is valid, what is inside does not decode.
+        payload = PayloadAuthenticator(secret=SECRET).sign(content)
         handled, _ = run_virtual(receive_all([payload]))
         self.assertEqual([7], handled)
 
--- a/tests/histories/world.py
+++ b/tests/histories/world.py
@@ -16,10 +16,10 @@
 from burdockdrum.histories import Forwarded
 from burdockdrum.histories import History
 from burdockdrum.histories import InForce
-from burdockdrum.peers import Seal
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.ports import UpstreamCall
 from burdockdrum.requests import FORWARD_HEADER
-from burdockdrum.requests import open_header
+from burdockdrum.requests import verify_header
 from burdockdrum.resources import hash_token
 from burdockdrum.settings import read_settings
 from burdockdrum.settings import Settings
@@ -94,7 +94,7 @@
         self.operator = Operator(world=self)
         self.numbers = itertools.count(1)
         self.entry_urls_by_vm_id = {v: self.entry_url(v) for v in self.vm_ids}
-        self._seal = Seal(secret=SECRET.encode())
+        self._authenticator = PayloadAuthenticator(secret=SECRET.encode())
 
     @property
     def vm_ids(self) -> list[str]:
@@ -205,7 +205,7 @@
 
     def _record_forward(self, call: UpstreamCall, data_centre: str) -> None:
         text = call.headers.get(FORWARD_HEADER, "")
-        header = open_header(self._seal, text, call.body)
+        header = verify_header(self._authenticator, text, call.body)
         assert header is not None
         self.history.forwarded.append(
             Forwarded(
--- a/tests/holdings/world.py
+++ b/tests/holdings/world.py
@@ -11,8 +11,8 @@
 from burdockdrum.holdings import PrefixCacheUnavailable
 from burdockdrum.holdings import SharedParts
 from burdockdrum.metrics import Metrics
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.peers import Peers
-from burdockdrum.peers import Seal
 from burdockdrum.peers import VmIdentity
 from burdockdrum.testing import FakeNetwork
 from burdockdrum.testing import VirtualClock
@@ -120,7 +120,7 @@
             clock=world.clock,
             hybrid_clock=HybridClock(clock=world.clock),
             rng=world.rng,
-            seal=Seal(secret=b"s"),
+            authenticator=PayloadAuthenticator(secret=b"s"),
             metrics=self.metrics,
         )
         self.sharing = PrefixCacheSharing(
--- a/tests/peers/test_packing.py
+++ b/tests/peers/test_compression.py
@@ -7,17 +7,17 @@
 from hypothesis import strategies
 import msgspec
 
+from burdockdrum.peers.compression import MAX_UNPACKED_BYTES
+from burdockdrum.peers.compression import MIN_COMPRESSED_FRAME_BYTES
+from burdockdrum.peers.compression import pack
+from burdockdrum.peers.compression import unpack
+from burdockdrum.peers.compression import UnpackError
 from burdockdrum.peers.messages import Envelope
 from burdockdrum.peers.messages import Frame
-from burdockdrum.peers.packing import MAX_UNPACKED_BYTES
-from burdockdrum.peers.packing import MIN_COMPRESSED_FRAME_BYTES
-from burdockdrum.peers.packing import pack
-from burdockdrum.peers.packing import unpack
-from burdockdrum.peers.packing import UnpackError
 from burdockdrum.timeline import Stamp
 
 
-class PackingTest(unittest.TestCase):
+class CompressionTest(unittest.TestCase):
     """Frames survive a round trip, and invalid payloads are rejected."""
 
     def test_small_frame_is_not_compressed(self):
--- a/tests/peers/test_link_watch.py
+++ b/tests/peers/test_link_watch.py
@@ -2,12 +2,12 @@
 
 import unittest
 
-from burdockdrum.peers.link_watch import CONFIRM_TIMEOUT_SECONDS
-from burdockdrum.peers.link_watch import INITIAL_TIMEOUT_SECONDS
-from burdockdrum.peers.link_watch import LinkMonitor
+from burdockdrum.peers.link_monitor import CONFIRM_TIMEOUT_SECONDS
+from burdockdrum.peers.link_monitor import INITIAL_TIMEOUT_SECONDS
+from burdockdrum.peers.link_monitor import LinkMonitor
 
 
-class LinkWatchTest(unittest.TestCase):
+class LinkMonitorTest(unittest.TestCase):
     """One connection, seen from the sender."""
 
     def setUp(self):
--- a/tests/quotas/test_sharing.py
+++ b/tests/quotas/test_sharing.py
@@ -9,8 +9,8 @@
 from burdockdrum.histories import check_limits
 from burdockdrum.histories import LimitInForce
 from burdockdrum.metrics import Metrics
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.peers import Peers
-from burdockdrum.peers import Seal
 from burdockdrum.peers import VmIdentity
 from burdockdrum.quotas import QuotaMeter
 from burdockdrum.quotas.sharing import UsageSharing
@@ -63,7 +63,7 @@
             clock=world.clock,
             hybrid_clock=HybridClock(clock=world.clock),
             rng=world.rng,
-            seal=Seal(secret=b"s"),
+            authenticator=PayloadAuthenticator(secret=b"s"),
             metrics=Metrics(),
         )
         self.sharing = UsageSharing(
--- a/tests/registrations/test_following.py
+++ b/tests/registrations/test_following.py
@@ -5,8 +5,8 @@
 import unittest
 
 from burdockdrum.metrics import Metrics
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.peers import Peers
-from burdockdrum.peers import Seal
 from burdockdrum.peers import VmIdentity
 from burdockdrum.registrations import Registration
 from burdockdrum.registrations import RegistrationFollower
@@ -69,7 +69,7 @@
             clock=self.clock,
             hybrid_clock=HybridClock(clock=self.clock),
             rng=self.rng,
-            seal=Seal(secret=b"s"),
+            authenticator=PayloadAuthenticator(secret=b"s"),
             metrics=metrics,
         )
         if name in self.addresses:
--- a/tests/registrations/test_load_sharing.py
+++ b/tests/registrations/test_load_sharing.py
@@ -5,8 +5,8 @@
 import unittest
 
 from burdockdrum.metrics import Metrics
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.peers import Peers
-from burdockdrum.peers import Seal
 from burdockdrum.peers import VmIdentity
 from burdockdrum.registrations import LoadSharing
 from burdockdrum.registrations import PlacedPrefix
@@ -54,7 +54,7 @@
             clock=self.world.clock,
             hybrid_clock=HybridClock(clock=self.world.clock),
             rng=self.world.rng,
-            seal=Seal(secret=b"s"),
+            authenticator=PayloadAuthenticator(secret=b"s"),
             metrics=self.metrics,
         )
         self.sharing = LoadSharing(
--- a/tests/requests/test_forwarding.py
+++ b/tests/requests/test_forwarding.py
@@ -5,12 +5,12 @@
 
 import msgspec
 
-from burdockdrum.peers import Seal
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.ports import AnswerLost
 from burdockdrum.ports import UpstreamCall
 from burdockdrum.requests.forwarding import FORWARD_HEADER
 from burdockdrum.requests.forwarding import ForwardHeader
-from burdockdrum.requests.forwarding import seal_header
+from burdockdrum.requests.forwarding import sign_header
 from burdockdrum.testing import run_virtual
 from tests.requests.stack import Endpoint
 from tests.requests.stack import read_text
@@ -57,11 +57,13 @@
         fingerprint="forwarded",
         hops=hops,
     )
-    seal = stack.cluster.vms_by_id[vm].kernel.find("seal", Seal)
+    authenticator = stack.cluster.vms_by_id[vm].kernel.find(
+        "seal", PayloadAuthenticator
+    )
     call = UpstreamCall(
         method="POST",
         url=stack.url(vm) + "/v1/forward",
-        headers={FORWARD_HEADER: seal_header(seal, header, body)},
+        headers={FORWARD_HEADER: sign_header(authenticator, header, body)},
         body=body,
     )
     answer = await stack.cluster.client("other").open(call)
--- a/tests/vms/bed.py
+++ b/tests/vms/bed.py
@@ -9,8 +9,8 @@
 from burdockdrum.endpoints import Report
 from burdockdrum.endpoints import REPORT_INTERVAL_SECONDS
 from burdockdrum.metrics import Metrics
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.peers import Peers
-from burdockdrum.peers import Seal
 from burdockdrum.peers import VmIdentity
 from burdockdrum.testing import FakeNetwork
 from burdockdrum.testing import VirtualClock
@@ -58,7 +58,7 @@
             clock=self.clock,
             hybrid_clock=self.timeline.clock,
             rng=random.Random(seed),
-            seal=Seal(secret=b"secret"),
+            authenticator=PayloadAuthenticator(secret=b"secret"),
             metrics=self.metrics,
         )
         self.registry = EndpointRegistry(
