--- a/burdockdrum/admission/services.py
+++ b/burdockdrum/admission/services.py
@@ -10,7 +10,7 @@
 from burdockdrum.ports import Clock
 from burdockdrum.routing import Router
 from burdockdrum.settings import Settings
-from burdockdrum.vms import Summaries
+from burdockdrum.vms import CapacitySummaries
 from burdockdrum.vms import VmDirectory
 
 
@@ -39,7 +39,7 @@
         policy=kernel.find("settings", Settings).policy,
         quotas=kernel.find("quotas", QuotaEnforcer),
     )
-    summaries = kernel.find("summaries", Summaries)
-    summaries.read_room = router.free_capacity
+    summaries = kernel.find("summaries", CapacitySummaries)
+    summaries.read_free_capacity = router.free_capacity
     summaries.read_queue_seconds = admission.queue_seconds
     return admission
--- a/burdockdrum/quotas/sharing.py
+++ b/burdockdrum/quotas/sharing.py
@@ -27,8 +27,8 @@
 from burdockdrum.quotas.sums import NO_USAGE
 from burdockdrum.quotas.sums import Usage
 from burdockdrum.quotas.sums import UsageSums
-from burdockdrum.vms import FarKeepers
-from burdockdrum.vms import KeeperChoice
+from burdockdrum.vms import AggregatorSelector
+from burdockdrum.vms import RemoteAggregators
 
 REPORT_INTERVAL_SECONDS = 0.2
 # Limits the aggregator's load to 40 reports per second, however many entries
@@ -75,7 +75,7 @@
         self._clock = clock
         self._read_entries = read_entries
         self._read_draining = read_draining
-        self._aggregator_choice = KeeperChoice(own=self._own)
+        self._aggregator_selector = AggregatorSelector(own=self._own)
         self._aggregator: VmIdentity = self._own
         self._neighbour_count = 0
         self._broadcast_at = float("-inf")
@@ -84,7 +84,7 @@
         self._here = UsageSums()
         # Reports of other data centres, by the address of their aggregator.
         self._elsewhere = UsageSums()
-        self._remote_aggregators = FarKeepers(
+        self._remote_aggregators = RemoteAggregators(
             own=self._own, keep_seconds=UNREACHABLE_TIMEOUT_SECONDS
         )
         own = self._own.data_centre
@@ -144,10 +144,10 @@
         self._neighbour_count = len(neighbours)
         self._here.forget_before(now - SOURCE_EXPIRY_SECONDS)
         self._elsewhere.forget_before(now - SOURCE_EXPIRY_SECONDS)
-        can_aggregate = not self._read_draining()
+        is_eligible = not self._read_draining()
         self._set_aggregator(
-            self._aggregator_choice.choose(
-                neighbours, now, may_keep=can_aggregate
+            self._aggregator_selector.choose(
+                neighbours, now, is_eligible=is_eligible
             ),
             now,
         )
@@ -158,7 +158,7 @@
             return BROADCAST_INTERVAL_SECONDS
         report = UsageReport(uses=_to_wire(own))
         self._peers.send(self._aggregator.control_address, report)
-        self._aggregator_choice.note_asked(self._aggregator.vm_id, now)
+        self._aggregator_selector.record_report(self._aggregator.vm_id, now)
         return max(
             REPORT_INTERVAL_SECONDS,
             REPORT_INTERVAL_PER_ENTRY_SECONDS * (len(neighbours) + 1),
@@ -195,7 +195,9 @@
             aggregator=self._own.control_address,
             uses=_to_wire(self._total_here(now)),
         )
-        for address in self._remote_aggregators.find_all(others, now).values():
+        for address in self._remote_aggregators.find_addresses(
+            others, now
+        ).values():
             self._peers.send(address, message)
 
     def _total_here(self, now: float) -> dict[str, Usage]:
@@ -260,7 +262,7 @@
         self, sender: Sender, message: OthersUsage
     ) -> Message | None:
         now = self._clock.monotonic()
-        self._aggregator_choice.note_answer(sender.vm_id)
+        self._aggregator_selector.record_reply(sender.vm_id)
         if self.is_aggregator or sender.vm_id != self._aggregator.vm_id:
             return None
         self._here.record(sender.vm_id, message.uses, now)
@@ -295,7 +297,7 @@
             return None
         now = self._clock.monotonic()
         name = message.data_centre
-        self._remote_aggregators.note(name, message.aggregator, now)
+        self._remote_aggregators.record(name, message.aggregator, now)
         self._elsewhere.record(message.aggregator, message.uses, now)
         own_usage, others = self.local_usage(), self._total_others()
         fractions = {}
--- a/burdockdrum/registrations/load_sharing.py
+++ b/burdockdrum/registrations/load_sharing.py
@@ -30,8 +30,8 @@
 from burdockdrum.registrations.messages import RegionLoad
 from burdockdrum.registrations.messages import ServiceCapacity
 from burdockdrum.registrations.placement_log import PlacementLog
-from burdockdrum.vms import FarKeepers
-from burdockdrum.vms import KeeperChoice
+from burdockdrum.vms import AggregatorSelector
+from burdockdrum.vms import RemoteAggregators
 
 REPORT_INTERVAL_SECONDS = 0.1
 # With more other entries, an aggregator needs fewer messages.
@@ -74,13 +74,13 @@
         self._read_entries = read_entries
         self._read_draining = read_draining
         self._read_capacities = read_capacities
-        self._aggregator_choice = KeeperChoice(own=self._own)
+        self._aggregator_selector = AggregatorSelector(own=self._own)
         self._aggregator: VmIdentity | None = None
         # The number of sources that this entry expects reports from.
         self._expected_sources = 0
         self._interval = REPORT_INTERVAL_SECONDS
         self._reply_received_at = float("-inf")
-        self._remote_aggregators = FarKeepers(
+        self._remote_aggregators = RemoteAggregators(
             own=self._own, keep_seconds=MAX_AGE_SECONDS
         )
         self._local_loads = LoadSums()
@@ -186,7 +186,9 @@
         if self._send_report(
             [self._aggregator.control_address], now, wants_reply=True
         ):
-            self._aggregator_choice.note_asked(self._aggregator.vm_id, now)
+            self._aggregator_selector.record_report(
+                self._aggregator.vm_id, now
+            )
         return self._interval
 
     def _choose_aggregator(
@@ -195,9 +197,9 @@
         if len(others) <= MAX_DIRECT_PEERS:
             return None
         neighbours = [e for e in others if self._is_neighbour(e)]
-        may_keep = not self._read_draining()
-        return self._aggregator_choice.choose(
-            neighbours, now, may_keep=may_keep
+        is_eligible = not self._read_draining()
+        return self._aggregator_selector.choose(
+            neighbours, now, is_eligible=is_eligible
         )
 
     def _count_sources(self, others: list[VmIdentity]) -> int:
@@ -243,7 +245,9 @@
         self, others: list[VmIdentity], now: float
     ) -> None:
         self._placements.add(self._own.vm_id, self.pop_placed())
-        address_by_data_centre = self._remote_aggregators.find_all(others, now)
+        address_by_data_centre = self._remote_aggregators.find_addresses(
+            others, now
+        )
         load = encode_loads(self._sum_local())
         remote_sources = frozenset(
             map(_data_centre_source, address_by_data_centre)
@@ -303,7 +307,7 @@
         self, sender: Sender, message: RegionLoad
     ) -> Message | None:
         now = self._clock.monotonic()
-        self._aggregator_choice.note_answer(sender.vm_id)
+        self._aggregator_selector.record_reply(sender.vm_id)
         if self._aggregator is None or sender.vm_id != self._aggregator.vm_id:
             return None
         self._local_loads.put(sender.vm_id, message.load_by_id, now)
@@ -327,7 +331,7 @@
             return None
         source = _data_centre_source(message.data_centre)
         now = self._clock.monotonic()
-        self._remote_aggregators.note(
+        self._remote_aggregators.record(
             message.data_centre, message.aggregator_address, now
         )
         self._remote_loads.put(source, message.load_by_id, now)
--- a/burdockdrum/vms/keepers.py
+++ b/burdockdrum/vms/aggregators.py
@@ -16,7 +16,7 @@
 EXCLUSION_SECONDS = 6.0
 
 
-class KeeperChoice:
+class AggregatorSelector:
     """Chooses the aggregator by rendezvous hashing.
 
     All entries with the same view of the live entries choose the same one.
@@ -31,16 +31,16 @@
         self._queried_at = 0.0
 
     def choose(
-        self, neighbours: list[VmIdentity], now: float, *, may_keep: bool
+        self, neighbours: list[VmIdentity], now: float, *, is_eligible: bool
     ) -> VmIdentity:
         """Return the aggregator among the entries of this data centre.
 
         :param neighbours: the other eligible entries
-        :param may_keep: whether this VM is eligible
+        :param is_eligible: whether this VM is eligible
         """
         self._exclude_unreachable(now)
         by_id = {entry.vm_id: entry for entry in neighbours}
-        if may_keep or not by_id:
+        if is_eligible or not by_id:
             by_id[self._own.vm_id] = self._own
         ranked = choose_by_hash(by_id, self._own.data_centre, len(by_id))
         for vm_id in ranked:
@@ -48,12 +48,12 @@
                 return by_id[vm_id]
         return by_id[ranked[0]]
 
-    def note_asked(self, vm_id: str, now: float) -> None:
+    def record_report(self, vm_id: str, now: float) -> None:
         """Record a report that waits for its reply."""
         if self._queried_id != vm_id:
             self._queried_id, self._queried_at = vm_id, now
 
-    def note_answer(self, vm_id: str) -> None:
+    def record_reply(self, vm_id: str) -> None:
         """Record a reply."""
         if self._queried_id == vm_id:
             self._queried_id = None
@@ -72,7 +72,7 @@
             self._queried_id = None
 
 
-class FarKeepers:
+class RemoteAggregators:
     """The addresses of the aggregators of other data centres."""
 
     def __init__(self, *, own: VmIdentity, keep_seconds: float) -> None:
@@ -88,11 +88,11 @@
     def __len__(self) -> int:
         return len(self._known_by_data_centre)
 
-    def note(self, data_centre: str, address: str, now: float) -> None:
+    def record(self, data_centre: str, address: str, now: float) -> None:
         """Record the address of a data centre's aggregator."""
         self._known_by_data_centre[data_centre] = (address, now)
 
-    def find_all(
+    def find_addresses(
         self, entries: Iterable[VmIdentity], now: float
     ) -> dict[str, str]:
         """Return an address for each other data centre.
--- a/burdockdrum/vms/directory.py
+++ b/burdockdrum/vms/directory.py
@@ -13,8 +13,8 @@
 from burdockdrum.peers import VmIdentity
 from burdockdrum.ports import Clock
 from burdockdrum.timeline import Timeline
+from burdockdrum.vms.discovery import Discovery
 from burdockdrum.vms.group import VmGroup
-from burdockdrum.vms.joining import Discovery
 from burdockdrum.vms.liveness import Health
 from burdockdrum.vms.members import Member
 from burdockdrum.vms.members import VmState
--- a/burdockdrum/vms/drain.py
+++ b/burdockdrum/vms/drain.py
@@ -20,7 +20,7 @@
 from burdockdrum.verdicts import RefusalCode
 from burdockdrum.verdicts import Verdict
 from burdockdrum.vms.directory import VmDirectory
-from burdockdrum.vms.selection import VALID_SECONDS
+from burdockdrum.vms.selection import ENTRY_LIST_VALID_SECONDS
 
 # Other entries may return lists with this VM until the drain reaches them.
 PROPAGATION_SECONDS = 1.0
@@ -50,7 +50,7 @@
         timeline: Timeline,
         vms: VmDirectory,
         limit_seconds: float,
-        lists_seconds: float = VALID_SECONDS + PROPAGATION_SECONDS,
+        lists_seconds: float = ENTRY_LIST_VALID_SECONDS + PROPAGATION_SECONDS,
     ) -> None:
         """Create a drain that has not begun.
 
--- a/burdockdrum/vms/selection.py
+++ b/burdockdrum/vms/selection.py
@@ -8,7 +8,7 @@
 
 from burdockdrum.vms.directory import VmView
 
-VALID_SECONDS = 5.0
+ENTRY_LIST_VALID_SECONDS = 5.0
 # More than the entry VMs of any data centre; keeps a list below 4 KB.
 MAX_NEAREST = 20
 MAX_BACKUPS = 12
@@ -83,7 +83,7 @@
     chosen = near[:MAX_NEAREST] + [(v, 0) for v in backups[:MAX_BACKUPS]]
     return EntryList(
         entries=[_describe(view, weight) for view, weight in chosen],
-        valid_seconds=VALID_SECONDS,
+        valid_seconds=ENTRY_LIST_VALID_SECONDS,
     )
 
 
--- a/burdockdrum/vms/services.py
+++ b/burdockdrum/vms/services.py
@@ -13,7 +13,7 @@
 from burdockdrum.vms.directory import VmDirectory
 from burdockdrum.vms.drain import Drain
 from burdockdrum.vms.endpoint_sharing import EndpointSharing
-from burdockdrum.vms.summaries import Summaries
+from burdockdrum.vms.summaries import CapacitySummaries
 
 
 def add_services(kernel: Kernel) -> None:
@@ -24,8 +24,8 @@
     kernel.add("drain", _build_drain)
 
 
-def _build_summaries(kernel: Kernel) -> Summaries:
-    return Summaries(
+def _build_summaries(kernel: Kernel) -> CapacitySummaries:
+    return CapacitySummaries(
         clock=kernel.find("clock", Clock),
         configuration=kernel.find("configuration", ConfigurationService),
         endpoints=kernel.find("endpoints", EndpointRegistry),
@@ -34,7 +34,7 @@
 
 def _build_vms(kernel: Kernel) -> VmDirectory:
     configuration = kernel.find("configuration", ConfigurationService)
-    summaries = kernel.find("summaries", Summaries)
+    summaries = kernel.find("summaries", CapacitySummaries)
     return VmDirectory(
         peers=kernel.find("peers", Peers),
         clock=kernel.find("clock", Clock),
--- a/burdockdrum/vms/summaries.py
+++ b/burdockdrum/vms/summaries.py
@@ -15,7 +15,7 @@
 ASSUMED_REQUEST_SECONDS = 2.0
 
 
-class Summaries:
+class CapacitySummaries:
     """Computes the summaries of this data centre and caches them briefly.
 
     They are read for every request that may be forwarded to another data
@@ -35,7 +35,7 @@
         self._endpoints = endpoints
         # Set by the router and the admission, which are created later. They
         # know the requests in flight and the queue, which reports lack.
-        self.read_room: Callable[[str], float] | None = None
+        self.read_free_capacity: Callable[[str], float] | None = None
         self.read_queue_seconds: Callable[[str], float] | None = None
         self._summaries: list[ServiceSummary] = []
         self._made_at = float("-inf")
@@ -67,9 +67,9 @@
         )
 
     def _estimate_capacity(self, name: str, reported: int) -> int:
-        if self.read_room is None:
+        if self.read_free_capacity is None:
             return max(0, reported)
-        return int(self.read_room(name))
+        return int(self.read_free_capacity(name))
 
     def _estimate_queue(self, name: str, reported: float) -> float:
         if self.read_queue_seconds is None:
--- a/scripts/bench/membership.py
+++ b/scripts/bench/membership.py
@@ -29,7 +29,7 @@
 from burdockdrum.endpoints import MAX_PREFIXES_PER_ENDPOINT
 from burdockdrum.endpoints import PrefixCache
 from burdockdrum.testing import run_virtual
-from tests.vms.bed import Bed
+from tests.vms.harness import MembershipHarness
 
 VMS = 17
 ENDPOINTS = 160
@@ -39,58 +39,59 @@
 PYNNG_SECONDS_A_FRAME = 165e-6
 
 
-def start_bed(seed: int, vms: int, endpoints: int) -> Bed:
+def start_harness(seed: int, vms: int, endpoints: int) -> MembershipHarness:
     """Start a data centre whose endpoints are spread over its VMs."""
-    bed = Bed(seed=seed)
-    bed.start_vms(vms)
+    harness = MembershipHarness(seed=seed)
+    harness.start_vms(vms)
     for number in range(endpoints):
-        bed.start_endpoint(f"endpoint-{number}", f"vm{number % vms}")
-    return bed
+        harness.start_endpoint(f"endpoint-{number}", f"vm{number % vms}")
+    return harness
 
 
 async def measure_times(seed: int, loss: float) -> dict[str, float]:
     """Return the seconds until every VM knows, by what happened."""
-    bed = start_bed(seed, VMS, 0)
+    harness = start_harness(seed, VMS, 0)
     rng = random.Random(seed)
     await asyncio.sleep(SETTLE_SECONDS)
-    bed.network.set_default(loss=loss)
+    harness.network.set_default(loss=loss)
     times = {}
 
     async def wait(name: str, condition: Callable[[], bool]) -> None:
-        times[name] = await bed.wait_until(condition, limit=LIMIT_SECONDS)
+        times[name] = await harness.wait_until(condition, limit=LIMIT_SECONDS)
         # The next event must not come in step with the ticks.
         await asyncio.sleep(3.0 + rng.random())
 
-    first = bed.start_endpoint("first", "vm3")
-    second = bed.start_endpoint("second", "vm4")
+    first = harness.start_endpoint("first", "vm3")
+    second = harness.start_endpoint("second", "vm4")
     await wait(
         "new endpoint",
-        lambda: bed.everywhere(lambda vm: vm.offers("first")),
+        lambda: harness.everywhere(lambda vm: vm.offers("first")),
     )
     first.leave("vm7")
-    await wait("leaving endpoint", lambda: bed.nobody_offers("first"))
+    await wait("leaving endpoint", lambda: harness.nobody_offers("first"))
     second.die()
-    await wait("dead endpoint", lambda: bed.nobody_offers("second"))
-    third = bed.start_endpoint("third", "vm5")
+    await wait("dead endpoint", lambda: harness.nobody_offers("second"))
+    third = harness.start_endpoint("third", "vm5")
     await asyncio.sleep(5.0 + rng.random())
     third.die()
-    await bed.crash_vm("vm5")
+    await harness.crash_vm("vm5")
     await wait(
         "dead VM suspected",
-        lambda: bed.everywhere(lambda vm: not vm.knows("vm5")),
+        lambda: harness.everywhere(lambda vm: not vm.knows("vm5")),
     )
-    bed.start_vm("vm5")
+    harness.start_vm("vm5")
     await wait(
-        "VM joined again", lambda: bed.everywhere(lambda vm: vm.knows("vm5"))
+        "VM joined again",
+        lambda: harness.everywhere(lambda vm: vm.knows("vm5")),
     )
-    fourth = bed.start_endpoint("fourth", "vm5")
+    fourth = harness.start_endpoint("fourth", "vm5")
     await asyncio.sleep(5.0 + rng.random())
     fourth.die()
-    await bed.crash_vm("vm5")
+    await harness.crash_vm("vm5")
     await wait(
-        "endpoint dead with its entry", lambda: bed.nobody_offers("fourth")
+        "endpoint dead with its entry", lambda: harness.nobody_offers("fourth")
     )
-    await bed.stop()
+    await harness.stop()
     return times
 
 
@@ -112,18 +113,18 @@
 
 async def count_suspicions(seconds: float, loss: float) -> tuple[int, int]:
     """Count suspicions and deaths while every VM lives."""
-    bed = start_bed(1, VMS, 0)
+    harness = start_harness(1, VMS, 0)
     await asyncio.sleep(SETTLE_SECONDS)
-    bed.network.set_default(loss=loss)
+    harness.network.set_default(loss=loss)
     await asyncio.sleep(seconds)
     counts = [
         sum(
             len(vm.timeline.events(prefix=f"vm.{name}"))
-            for vm in bed.vms_by_id.values()
+            for vm in harness.vms_by_id.values()
         )
         for name in ("suspected", "dead")
     ]
-    await bed.stop()
+    await harness.stop()
     return counts[0], counts[1]
 
 
@@ -142,10 +143,10 @@
 class Costs:
     """The traffic and process time of some VMs between two moments."""
 
-    def __init__(self, bed: Bed, vm_ids: list[str]) -> None:
+    def __init__(self, harness: MembershipHarness, vm_ids: list[str]) -> None:
         """Begin to measure."""
-        self._vms = [bed.vms_by_id[vm_id] for vm_id in vm_ids]
-        self._count = len(bed.vms_by_id)
+        self._vms = [harness.vms_by_id[vm_id] for vm_id in vm_ids]
+        self._count = len(harness.vms_by_id)
         self._before = self._read()
         self._cpu = time.process_time()
 
@@ -182,23 +183,23 @@
 
 async def measure_costs(vms: int, endpoints: int, seconds: float) -> None:
     """Print what one data centre costs each of its VMs."""
-    bed = start_bed(1, vms, endpoints)
+    harness = start_harness(1, vms, endpoints)
     await asyncio.sleep(SETTLE_SECONDS)
-    costs = Costs(bed, list(bed.vms_by_id))
+    costs = Costs(harness, list(harness.vms_by_id))
     await asyncio.sleep(seconds)
     costs.show(f"{vms:3} {endpoints:9}", seconds)
-    await bed.stop()
+    await harness.stop()
 
 
 async def measure_memory(vms: int, endpoints: int) -> None:
     """Print the memory that Python holds for each VM."""
     tracemalloc.start()
-    bed = start_bed(1, vms, endpoints)
+    harness = start_harness(1, vms, endpoints)
     await asyncio.sleep(SETTLE_SECONDS)
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     print(f"{vms:3} {endpoints:9} {held / vms / 1024:8.0f} KB")
-    await bed.stop()
+    await harness.stop()
 
 
 def show_cache_memory() -> None:
@@ -229,31 +230,33 @@
 
 async def measure_data_centres(count: int, seconds: float) -> None:
     """Print what a VM of the largest data centre spends."""
-    bed = Bed(seed=1)
+    harness = MembershipHarness(seed=1)
     vm_ids = [f"vm{number}" for number in range(VMS)]
     for vm_id in vm_ids:
-        bed.start_vm(vm_id, services=SERVICES)
+        harness.start_vm(vm_id, services=SERVICES)
     for number in range(1, count):
-        bed.start_vm(
+        harness.start_vm(
             f"far{number}", data_centre=f"dc{number}", services=SERVICES
         )
     for number in range(ENDPOINTS):
-        bed.start_endpoint(f"endpoint-{number}", f"vm{number % VMS}")
+        harness.start_endpoint(f"endpoint-{number}", f"vm{number % VMS}")
     await asyncio.sleep(2 * SETTLE_SECONDS)
-    costs = Costs(bed, vm_ids)
+    costs = Costs(harness, vm_ids)
     await asyncio.sleep(seconds)
     costs.show(f"{count:12}", seconds)
     known = [
-        len(bed.vms_by_id[vm_id].vms.summaries_by_data_centre)
+        len(harness.vms_by_id[vm_id].vms.summaries_by_data_centre)
         for vm_id in vm_ids
     ]
     ages = [
         view.age_seconds
         for vm_id in vm_ids
-        for view in bed.vms_by_id[vm_id].vms.summaries_by_data_centre.values()
+        for view in harness.vms_by_id[
+            vm_id
+        ].vms.summaries_by_data_centre.values()
     ]
     print(f"    known at each VM: {min(known)}, oldest {max(ages):.1f} s")
-    await bed.stop()
+    await harness.stop()
 
 
 def show_data_centres(seconds: float) -> None:
--- a/tests/vms/bed.py
+++ b/tests/vms/harness.py
@@ -21,7 +21,7 @@
 from burdockdrum.vms import VmDirectory
 
 
-class BedVm:
+class HarnessVm:
     """A VM without a web server, which can be started and crashed."""
 
     def __init__(
@@ -126,13 +126,18 @@
             group.create_task(self.vms.run())
 
 
-class BedEndpoint:
+class HarnessEndpoint:
     """An endpoint that reports to one VM, and to another when it fails."""
 
     def __init__(
-        self, *, bed: "Bed", endpoint_id: str, reporter: str, seed: int
+        self,
+        *,
+        harness: "MembershipHarness",
+        endpoint_id: str,
+        reporter: str,
+        seed: int,
     ) -> None:
-        self.bed = bed
+        self.harness = harness
         self.announcement = Announcement(
             endpoint_id=endpoint_id,
             incarnation=1,
@@ -154,7 +159,7 @@
         self.task.cancel()
 
     def leave(self, vm_id: str) -> None:
-        self.bed.vms_by_id[vm_id].registry.start_draining(
+        self.harness.vms_by_id[vm_id].registry.start_draining(
             self.announcement.endpoint_id, self.announcement.incarnation
         )
 
@@ -163,10 +168,12 @@
         # Endpoints do not report at the same moments.
         await asyncio.sleep(self._rng.random() * REPORT_INTERVAL_SECONDS)
         while True:
-            vm = self.bed.vms_by_id.get(self.reporter)
+            vm = self.harness.vms_by_id.get(self.reporter)
             if vm is None:
                 await asyncio.sleep(2.0)
-                self.reporter = self._rng.choice(sorted(self.bed.vms_by_id))
+                self.reporter = self._rng.choice(
+                    sorted(self.harness.vms_by_id)
+                )
                 known = False
                 continue
             if not known:
@@ -175,7 +182,7 @@
                 known = self._report(vm)
             await asyncio.sleep(REPORT_INTERVAL_SECONDS)
 
-    def _report(self, vm: BedVm) -> bool:
+    def _report(self, vm: HarnessVm) -> bool:
         self._sequence += 1
         running = self._rng.randrange(9) if self.changes_load else 0
         report = Report(
@@ -188,12 +195,12 @@
         return vm.registry.report(name, report).known
 
 
-class Bed:
+class MembershipHarness:
     """Starts and crashes VMs and endpoints on one network."""
 
     def __init__(self, *, seed: int) -> None:
         self.network = FakeNetwork(rng=random.Random(seed))
-        self.vms_by_id: dict[str, BedVm] = {}
+        self.vms_by_id: dict[str, HarnessVm] = {}
         self._seed = seed
         self._incarnation = 0
 
@@ -205,10 +212,10 @@
         join: list[str] | None = None,
         services: int = 1,
         address: str | None = None,
-    ) -> BedVm:
+    ) -> HarnessVm:
         self._incarnation += 1
         self._seed += 7
-        vm = BedVm(
+        vm = HarnessVm(
             network=self.network,
             vm_id=vm_id,
             data_centre=data_centre,
@@ -222,16 +229,18 @@
         vm.start()
         return vm
 
-    def start_vms(self, count: int) -> list[BedVm]:
+    def start_vms(self, count: int) -> list[HarnessVm]:
         return [self.start_vm(f"vm{number}") for number in range(count)]
 
     async def crash_vm(self, vm_id: str) -> None:
         await self.vms_by_id.pop(vm_id).crash()
 
-    def start_endpoint(self, endpoint_id: str, reporter: str) -> BedEndpoint:
+    def start_endpoint(
+        self, endpoint_id: str, reporter: str
+    ) -> HarnessEndpoint:
         self._seed += 3
-        endpoint = BedEndpoint(
-            bed=self,
+        endpoint = HarnessEndpoint(
+            harness=self,
             endpoint_id=endpoint_id,
             reporter=reporter,
             seed=self._seed,
@@ -254,7 +263,7 @@
             await asyncio.sleep(0.02)
         return loop.time() - started
 
-    def everywhere(self, condition: Callable[[BedVm], bool]) -> bool:
+    def everywhere(self, condition: Callable[[HarnessVm], bool]) -> bool:
         return all(condition(vm) for vm in self.vms_by_id.values())
 
     def nobody_offers(self, endpoint_id: str) -> bool:
--- a/tests/vms/test_drain.py
+++ b/tests/vms/test_drain.py
@@ -9,14 +9,14 @@
 from burdockdrum.verdicts import Verdict
 from burdockdrum.vms import Drain
 from burdockdrum.vms import DrainState
-from burdockdrum.vms import VALID_SECONDS
-from tests.vms.bed import Bed
-from tests.vms.bed import BedVm
+from burdockdrum.vms import ENTRY_LIST_VALID_SECONDS
+from tests.vms.harness import HarnessVm
+from tests.vms.harness import MembershipHarness
 
 LIMIT_SECONDS = 60.0
 
 
-def make_drain(vm: BedVm) -> Drain:
+def make_drain(vm: HarnessVm) -> Drain:
     """Return a running drain service of a VM."""
     drain = Drain(
         clock=vm.clock,
@@ -35,8 +35,8 @@
         # A caller may use a list from just before the drain while it is
         # valid; after that its request is refused as "not run".
         async def main():
-            bed = Bed(seed=1)
-            vm, other = bed.start_vms(2)
+            harness = MembershipHarness(seed=1)
+            vm, other = harness.start_vms(2)
             drain = make_drain(vm)
             await asyncio.sleep(5)
             drain.begin()
@@ -45,7 +45,7 @@
                 v for v in other.vms.live_vms() if v.identity == vm.identity
             ]
             self.assertTrue(view.draining)
-            await asyncio.sleep(VALID_SECONDS - 1)
+            await asyncio.sleep(ENTRY_LIST_VALID_SECONDS - 1)
             drain.check()
             with drain.count_request():
                 await asyncio.sleep(2)
@@ -53,15 +53,15 @@
                     drain.check()
                 self.assertIs(Verdict.NOT_RUN, caught.exception.verdict)
                 self.assertIs(RefusalCode.DRAINING, caught.exception.code)
-            await bed.stop()
+            await harness.stop()
 
         run_virtual(main())
 
     def test_hooks_run_after_the_last_request(self):
         # A hook that fails or hangs must not block the drain.
         async def main():
-            bed = Bed(seed=2)
-            [vm] = bed.start_vms(1)
+            harness = MembershipHarness(seed=2)
+            [vm] = harness.start_vms(1)
             drain = make_drain(vm)
             order = []
 
@@ -81,19 +81,19 @@
                 self.assertEqual([], order)
             await asyncio.wait_for(drain.done.wait(), 10)
             self.assertEqual([("released", 0)], order)
-            await bed.stop()
+            await harness.stop()
 
         run_virtual(main())
 
     def test_limit_ends_the_wait_for_a_request_that_never_ends(self):
         async def main():
-            bed = Bed(seed=3)
-            [vm] = bed.start_vms(1)
+            harness = MembershipHarness(seed=3)
+            [vm] = harness.start_vms(1)
             drain = make_drain(vm)
             with drain.count_request():
                 drain.begin()
                 await asyncio.wait_for(drain.done.wait(), LIMIT_SECONDS + 15)
             self.assertTrue(vm.timeline.events(prefix="drain.limit_passed"))
-            await bed.stop()
+            await harness.stop()
 
         run_virtual(main())
--- a/tests/vms/test_group.py
+++ b/tests/vms/test_group.py
@@ -4,18 +4,20 @@
 import unittest
 
 from burdockdrum.testing import run_virtual
-from tests.vms.bed import Bed
+from tests.vms.harness import MembershipHarness
 
 JOIN_WITHIN = 2.0
 DEAD_WITHIN = 4.5
 HEALED_WITHIN = 4.0
 
 
-def count_events(bed: Bed, name: str, **details: object) -> int:
+def count_events(
+    harness: MembershipHarness, name: str, **details: object
+) -> int:
     """Return the number of events with a name and details on all VMs."""
     return sum(
         1
-        for vm in bed.vms_by_id.values()
+        for vm in harness.vms_by_id.values()
         for event in vm.timeline.events(prefix=name)
         if details.items() <= event.details.items()
     )
@@ -26,53 +28,57 @@
 
     def test_vm_joins_through_one_address(self):
         async def main():
-            bed = Bed(seed=1)
-            bed.start_vms(4)
+            harness = MembershipHarness(seed=1)
+            harness.start_vms(4)
             await asyncio.sleep(5)
-            bed.start_vm("new", join=["tcp://vm3"])
-            await bed.wait_until(
-                lambda: bed.everywhere(lambda vm: len(vm.vms.live_vms()) == 5),
+            harness.start_vm("new", join=["tcp://vm3"])
+            await harness.wait_until(
+                lambda: harness.everywhere(
+                    lambda vm: len(vm.vms.live_vms()) == 5
+                ),
                 limit=JOIN_WITHIN,
             )
-            await bed.stop()
+            await harness.stop()
 
         run_virtual(main())
 
     def test_dead_vm_is_detected_by_all(self):
         async def main():
-            bed = Bed(seed=2)
-            bed.start_vms(5)
+            harness = MembershipHarness(seed=2)
+            harness.start_vms(5)
             await asyncio.sleep(5)
-            await bed.crash_vm("vm2")
-            await bed.wait_until(
-                lambda: bed.everywhere(lambda vm: not vm.knows("vm2")),
+            await harness.crash_vm("vm2")
+            await harness.wait_until(
+                lambda: harness.everywhere(lambda vm: not vm.knows("vm2")),
                 limit=DEAD_WITHIN,
             )
-            await bed.wait_until(
-                lambda: bed.everywhere(lambda vm: len(vm.vms.live_vms()) == 4),
+            await harness.wait_until(
+                lambda: harness.everywhere(
+                    lambda vm: len(vm.vms.live_vms()) == 4
+                ),
                 limit=DEAD_WITHIN,
             )
-            await bed.stop()
+            await harness.stop()
 
         run_virtual(main())
 
     def test_restarted_vm_replaces_its_old_incarnation(self):
         async def main():
-            bed = Bed(seed=3)
-            bed.start_vms(5)
+            harness = MembershipHarness(seed=3)
+            harness.start_vms(5)
             await asyncio.sleep(5)
-            await bed.crash_vm("vm2")
-            new = bed.start_vm("vm2")
+            await harness.crash_vm("vm2")
+            new = harness.start_vm("vm2")
 
             def has_new(vm):
                 views = vm.vms.live_vms()
                 identities = [view.identity for view in views]
                 return new.identity in identities and len(views) == 5
 
-            await bed.wait_until(
-                lambda: bed.everywhere(has_new), limit=JOIN_WITHIN
+            await harness.wait_until(
+                lambda: harness.everywhere(has_new), limit=JOIN_WITHIN
             )
-            await bed.stop()
+            await harness.stop()
 
         run_virtual(main())
 
@@ -80,14 +86,14 @@
         # At a loss of 5 %, three ticks in a row are lost now and then, but a
         # third VM has received one of them.
         async def main():
-            bed = Bed(seed=4)
-            bed.start_vms(5)
+            harness = MembershipHarness(seed=4)
+            harness.start_vms(5)
             await asyncio.sleep(5)
-            bed.network.set_default(loss=0.05)
+            harness.network.set_default(loss=0.05)
             await asyncio.sleep(120)
-            self.assertEqual(0, count_events(bed, "vm.suspected"))
-            self.assertEqual(0, count_events(bed, "vm.dead"))
-            await bed.stop()
+            self.assertEqual(0, count_events(harness, "vm.suspected"))
+            self.assertEqual(0, count_events(harness, "vm.dead"))
+            await harness.stop()
 
         run_virtual(main())
 
@@ -95,14 +101,14 @@
         # vm1 receives nothing from vm0. If it counted vm0 as dead, its
         # callers would lose a live entry and the endpoints that report to it.
         async def main():
-            bed = Bed(seed=5)
-            bed.start_vms(5)
+            harness = MembershipHarness(seed=5)
+            harness.start_vms(5)
             await asyncio.sleep(5)
-            bed.network.cut(["vm0"], ["vm1"], both=False)
+            harness.network.cut(["vm0"], ["vm1"], both=False)
             await asyncio.sleep(60)
-            self.assertEqual(0, count_events(bed, "vm.suspected"))
-            self.assertTrue(bed.vms_by_id["vm1"].knows("vm0"))
-            await bed.stop()
+            self.assertEqual(0, count_events(harness, "vm.suspected"))
+            self.assertTrue(harness.vms_by_id["vm1"].knows("vm0"))
+            await harness.stop()
 
         run_virtual(main())
 
@@ -111,21 +117,21 @@
         # every two seconds. A hello must not mark it as live, or it would
         # flap.
         async def main():
-            bed = Bed(seed=6)
-            bed.start_vms(5)
+            harness = MembershipHarness(seed=6)
+            harness.start_vms(5)
             await asyncio.sleep(5)
             others = ["vm1", "vm2", "vm3", "vm4"]
-            bed.network.cut(others, ["vm0"], both=False)
+            harness.network.cut(others, ["vm0"], both=False)
             await asyncio.sleep(120)
             for name in others:
-                self.assertFalse(bed.vms_by_id[name].knows("vm0"))
-            self.assertEqual(4, count_events(bed, "vm.dead", vm_id="vm0"))
-            bed.network.heal(others, ["vm0"], both=False)
-            await bed.wait_until(
-                lambda: bed.everywhere(lambda vm: vm.knows("vm0")),
+                self.assertFalse(harness.vms_by_id[name].knows("vm0"))
+            self.assertEqual(4, count_events(harness, "vm.dead", vm_id="vm0"))
+            harness.network.heal(others, ["vm0"], both=False)
+            await harness.wait_until(
+                lambda: harness.everywhere(lambda vm: vm.knows("vm0")),
                 limit=HEALED_WITHIN,
             )
-            await bed.stop()
+            await harness.stop()
 
         run_virtual(main())
 
@@ -133,21 +139,21 @@
         # The process of vm0 is paused for thirty seconds. When it resumes, it
         # must not count the others as dead, and must be live again soon.
         async def main():
-            bed = Bed(seed=7)
-            vms = bed.start_vms(5)
+            harness = MembershipHarness(seed=7)
+            vms = harness.start_vms(5)
             await asyncio.sleep(5)
             vm0 = vms[0]
             await pause(vm0, 30.0)
             self.assertTrue(all(not vm.knows("vm0") for vm in vms[1:]))
-            await bed.wait_until(
-                lambda: bed.everywhere(lambda vm: vm.knows("vm0")),
+            await harness.wait_until(
+                lambda: harness.everywhere(lambda vm: vm.knows("vm0")),
                 limit=HEALED_WITHIN,
             )
             await asyncio.sleep(20)
             dead = [e.details for e in vm0.timeline.events(prefix="vm.dead")]
             self.assertEqual([], dead)
             self.assertTrue(vm0.timeline.events(prefix="vm.stalled"))
-            await bed.stop()
+            await harness.stop()
 
         run_virtual(main())
 
@@ -164,44 +170,47 @@
 
     def check_cut(self, left, right, *, seconds, seed):
         async def main():
-            bed = Bed(seed=seed)
+            harness = MembershipHarness(seed=seed)
             count = len(left) + len(right)
-            bed.start_vms(count)
+            harness.start_vms(count)
             await asyncio.sleep(5)
-            one, other = bed.vms_by_id[left[0]], bed.vms_by_id[right[0]]
-            bed.network.cut(left, right)
-            await bed.wait_until(
+            one, other = (
+                harness.vms_by_id[left[0]],
+                harness.vms_by_id[right[0]],
+            )
+            harness.network.cut(left, right)
+            await harness.wait_until(
                 lambda: not one.knows(right[0]) and not other.knows(left[0]),
                 limit=DEAD_WITHIN,
             )
             await asyncio.sleep(seconds)
             self.assertEqual(len(left), len(one.vms.live_vms()))
             self.assertEqual(len(right), len(other.vms.live_vms()))
-            bed.network.heal(left, right)
-            await bed.wait_until(
-                lambda: bed.everywhere(
+            harness.network.heal(left, right)
+            await harness.wait_until(
+                lambda: harness.everywhere(
                     lambda vm: len(vm.vms.live_vms()) == count
                 ),
                 limit=HEALED_WITHIN,
             )
-            await bed.stop()
+            await harness.stop()
 
         run_virtual(main())
 
     def test_duplicate_vm_id_is_detected(self):
         # An operator copies a settings file and forgets to change the id.
         async def main():
-            bed = Bed(seed=9)
-            vms = bed.start_vms(3)
+            harness = MembershipHarness(seed=9)
+            vms = harness.start_vms(3)
             await asyncio.sleep(5)
-            copy = bed.start_vm("vm1", address="tcp://copy")
+            copy = harness.start_vm("vm1", address="tcp://copy")
             await asyncio.sleep(10)
             old = vms[1]
             self.assertTrue(old.timeline.events(prefix="vm.duplicate_id"))
             views = vms[0].vms.live_vms()
             self.assertIn(copy.identity, [v.identity for v in views])
             self.assertEqual(3, len(views))
-            await bed.stop()
+            await harness.stop()
 
         run_virtual(main())
 
--- a/tests/vms/test_group_records.py
+++ b/tests/vms/test_group_records.py
@@ -6,7 +6,7 @@
 from burdockdrum.endpoints import Announcement
 from burdockdrum.testing import run_virtual
 from burdockdrum.vms.remote import REMOTE_TOPIC
-from tests.vms.bed import Bed
+from tests.vms.harness import MembershipHarness
 
 VMS = 17
 ENDPOINTS = 160
@@ -24,8 +24,8 @@
         # in the same tick as a new endpoint. The endpoint must still become
         # known, as the tick is not sent again.
         async def main():
-            bed = Bed(seed=1)
-            newer, *others = bed.start_vms(3)
+            harness = MembershipHarness(seed=1)
+            newer, *others = harness.start_vms(3)
             await asyncio.sleep(5)
             newer.vms.group.put(REMOTE_TOPIC, 99, "unreadable")
             newer.registry.announce(
@@ -40,16 +40,16 @@
             await asyncio.sleep(2)
             for vm in others:
                 self.assertTrue(vm.offers("e1"))
-            await bed.stop()
+            await harness.stop()
 
         run_virtual(main())
 
     def test_traffic_of_the_largest_data_centre_stays_within_its_budget(self):
         async def main():
-            bed = Bed(seed=2)
-            vms = bed.start_vms(VMS)
+            harness = MembershipHarness(seed=2)
+            vms = harness.start_vms(VMS)
             for number in range(ENDPOINTS):
-                bed.start_endpoint(f"e{number}", f"vm{number % VMS}")
+                harness.start_endpoint(f"e{number}", f"vm{number % VMS}")
             await asyncio.sleep(5)
             before = [self.read_traffic(vm) for vm in vms]
             await asyncio.sleep(SECONDS)
@@ -64,7 +64,7 @@
                 self.assertEqual(
                     ENDPOINTS, len(vm.registry.candidates("planner"))
                 )
-            await bed.stop()
+            await harness.stop()
 
         run_virtual(main())
 
--- a/tests/vms/test_remote.py
+++ b/tests/vms/test_remote.py
@@ -5,7 +5,7 @@
 
 from burdockdrum.testing import run_virtual
 from burdockdrum.vms.remote import REMOVAL_AGE_SECONDS
-from tests.vms.bed import Bed
+from tests.vms.harness import MembershipHarness
 
 KNOWN_WITHIN = 4.0
 UNREACHABLE_WITHIN = 6.0
@@ -20,51 +20,51 @@
 class RemoteTest(unittest.TestCase):
     """Two data centres with three VMs each; both join through one VM."""
 
-    async def start(self, seed: int) -> Bed:
-        bed = Bed(seed=seed)
+    async def start(self, seed: int) -> MembershipHarness:
+        harness = MembershipHarness(seed=seed)
         for name in ("north", "south"):
             for number in range(3):
-                bed.start_vm(
+                harness.start_vm(
                     f"{name}{number}",
                     data_centre=name,
                     join=["tcp://north0"],
                 )
         await asyncio.sleep(5)
-        return bed
+        return harness
 
     def test_every_vm_knows_capacity_and_entries_of_the_other(self):
         async def main():
-            bed = await self.start(1)
-            bed.start_endpoint("e1", "south1")
-            await bed.wait_until(
+            harness = await self.start(1)
+            harness.start_endpoint("e1", "south1")
+            await harness.wait_until(
                 lambda: any(
                     service.slots == 8
-                    for service in bed.vms_by_id["north2"]
+                    for service in harness.vms_by_id["north2"]
                     .vms.summaries_by_data_centre["south"]
                     .services
                 ),
                 limit=KNOWN_WITHIN,
             )
-            for vm in bed.vms_by_id.values():
+            for vm in harness.vms_by_id.values():
                 other = (
                     "south" if vm.identity.data_centre == "north" else "north"
                 )
                 self.assertEqual(3, len(vm.vms.vms_in(other)))
                 relays = vm.vms.relay_of(other)
                 self.assertEqual(f"{other}0", relays.identity.vm_id)
-            await bed.stop()
+            await harness.stop()
 
         run_virtual(main())
 
     def test_draining_vm_is_no_longer_an_entry_elsewhere(self):
         async def main():
-            bed = await self.start(2)
-            bed.vms_by_id["south1"].vms.draining = True
-            await bed.wait_until(
-                lambda: not bed.vms_by_id["north1"].knows("south1"),
+            harness = await self.start(2)
+            harness.vms_by_id["south1"].vms.draining = True
+            await harness.wait_until(
+                lambda: not harness.vms_by_id["north1"].knows("south1"),
                 limit=KNOWN_WITHIN,
             )
-            await bed.stop()
+            await harness.stop()
 
         run_virtual(main())
 
@@ -72,15 +72,15 @@
         # The VM that sends the summaries dies. Another one must replace it,
         # or the data centre would count as unreachable.
         async def main():
-            bed = await self.start(3)
+            harness = await self.start(3)
             for name in ("south0", "south1"):
-                await bed.crash_vm(name)
+                await harness.crash_vm(name)
                 for _ in range(100):
                     await asyncio.sleep(0.1)
                     for number in range(3):
-                        vm = bed.vms_by_id[f"north{number}"]
+                        vm = harness.vms_by_id[f"north{number}"]
                         self.assertTrue(has_summary(vm, "south"))
-            await bed.stop()
+            await harness.stop()
 
         run_virtual(main())
 
@@ -88,20 +88,20 @@
         # During the partition every VM of the south moves to a new address,
         # so only the south knows addresses of the other side.
         async def main():
-            bed = await self.start(4)
+            harness = await self.start(4)
             north = [f"north{number}" for number in range(3)]
             south = [f"south{number}" for number in range(3)]
-            bed.network.cut(north, south)
-            await bed.wait_until(
-                lambda: bed.everywhere(
+            harness.network.cut(north, south)
+            await harness.wait_until(
+                lambda: harness.everywhere(
                     lambda vm: len(vm.vms.summaries_by_data_centre) == 1
                 ),
                 limit=UNREACHABLE_WITHIN,
             )
             await asyncio.sleep(30)
             for name in south:
-                await bed.crash_vm(name)
-                bed.start_vm(
+                await harness.crash_vm(name)
+                harness.start_vm(
                     name,
                     data_centre="south",
                     join=["tcp://north0", "tcp://new-south1"],
@@ -109,32 +109,32 @@
                 )
                 await asyncio.sleep(10)
             await asyncio.sleep(20)
-            bed.network.heal(north, south)
-            await bed.wait_until(
-                lambda: bed.everywhere(
+            harness.network.heal(north, south)
+            await harness.wait_until(
+                lambda: harness.everywhere(
                     lambda vm: len(vm.vms.summaries_by_data_centre) == 2
                 ),
                 limit=20.0,
             )
-            await bed.stop()
+            await harness.stop()
 
         run_virtual(main())
 
     def test_partition_heals_in_seconds_if_addresses_stayed(self):
         async def main():
-            bed = await self.start(5)
+            harness = await self.start(5)
             north = [f"north{number}" for number in range(3)]
             south = [f"south{number}" for number in range(3)]
-            bed.network.cut(north, south)
+            harness.network.cut(north, south)
             await asyncio.sleep(120)
-            bed.network.heal(north, south)
-            await bed.wait_until(
-                lambda: bed.everywhere(
+            harness.network.heal(north, south)
+            await harness.wait_until(
+                lambda: harness.everywhere(
                     lambda vm: len(vm.vms.summaries_by_data_centre) == 2
                 ),
                 limit=HEALED_WITHIN,
             )
-            await bed.stop()
+            await harness.stop()
 
         run_virtual(main())
 
@@ -142,20 +142,20 @@
         # All data centres see the same free capacity and use it, so the older
         # the summary, the less of it is left.
         async def main():
-            bed = await self.start(6)
-            endpoint = bed.start_endpoint("e1", "south1")
+            harness = await self.start(6)
+            endpoint = harness.start_endpoint("e1", "south1")
             endpoint.changes_load = False
             await asyncio.sleep(5)
-            view = bed.vms_by_id["north0"].vms
+            view = harness.vms_by_id["north0"].vms
             fresh = view.summaries_by_data_centre["south"]
             self.assertEqual(8, fresh.services[0].room)
             south = [f"south{number}" for number in range(3)]
-            bed.network.cut(south, ["north0", "north1", "north2"])
+            harness.network.cut(south, ["north0", "north1", "north2"])
             await asyncio.sleep(3)
             stale = view.summaries_by_data_centre["south"]
             self.assertGreater(stale.age_seconds, 2.0)
             self.assertLess(stale.services[0].room, 6)
-            await bed.stop()
+            await harness.stop()
 
         run_virtual(main())
 
@@ -163,19 +163,19 @@
         # Summaries are ordered by stamps of their sender's clocks. If these
         # are set back by an hour, new summaries must still be accepted soon.
         async def main():
-            bed = await self.start(7)
+            harness = await self.start(7)
             for number in range(3):
-                await bed.crash_vm(f"south{number}")
+                await harness.crash_vm(f"south{number}")
             for number in range(3):
-                vm = bed.start_vm(
+                vm = harness.start_vm(
                     f"south{number}",
                     data_centre="south",
                     join=["tcp://south0"],
                 )
                 vm.clock._wall_offset = -3600.0
             await asyncio.sleep(10)
-            self.assertTrue(has_summary(bed.vms_by_id["north1"], "south"))
-            await bed.stop()
+            self.assertTrue(has_summary(harness.vms_by_id["north1"], "south"))
+            await harness.stop()
 
         run_virtual(main())
 
@@ -183,17 +183,17 @@
         # A day after the south was closed, nothing must be sent to it, and
         # the VMs must not add it again for each other.
         async def main():
-            bed = await self.start(8)
+            harness = await self.start(8)
             for number in range(3):
-                await bed.crash_vm(f"south{number}")
+                await harness.crash_vm(f"south{number}")
             await asyncio.sleep(10)
-            for vm in bed.vms_by_id.values():
+            for vm in harness.vms_by_id.values():
                 remote = vm.vms._remote.known_by_name["south"]
                 remote.updated_at -= REMOVAL_AGE_SECONDS
                 remote.added_at -= REMOVAL_AGE_SECONDS
             await asyncio.sleep(60)
-            for vm in bed.vms_by_id.values():
+            for vm in harness.vms_by_id.values():
                 self.assertEqual({}, vm.vms._remote.known_by_name)
-            await bed.stop()
+            await harness.stop()
 
         run_virtual(main())
