--- a/burdockdrum/http1/__init__.py
+++ b/burdockdrum/http1/__init__.py
@@ -13,7 +13,7 @@
 from burdockdrum.http1.heads import encode_request
 from burdockdrum.http1.heads import encode_response
 from burdockdrum.http1.heads import Headers
-from burdockdrum.http1.heads import without_connection_headers
+from burdockdrum.http1.heads import remove_hop_by_hop_headers
 from burdockdrum.http1.listener import Handler
 from burdockdrum.http1.listener import Limits
 from burdockdrum.http1.listener import Listener
@@ -35,8 +35,8 @@
     "NotConnected",
     "parse_count",
     "parse_seconds",
+    "remove_hop_by_hop_headers",
     "RequestHead",
     "ResponseHead",
     "ResponseLost",
-    "without_connection_headers",
 ]
--- a/burdockdrum/http1/client.py
+++ b/burdockdrum/http1/client.py
@@ -273,7 +273,9 @@
             str, list[tuple[float, ClientConnection]]
         ] = {}
 
-    async def take(self, address: str, *, timeout: float) -> ClientConnection:
+    async def acquire(
+        self, address: str, *, timeout: float
+    ) -> ClientConnection:
         """Return an idle connection, or open one.
 
         :param timeout: limit in seconds for opening one
@@ -302,7 +304,7 @@
         connection.on_lost = lambda: self._change_open_count(address, -1)
         return connection
 
-    def give_back(self, address: str, connection: ClientConnection) -> None:
+    def release(self, address: str, connection: ClientConnection) -> None:
         """Return a connection to the pool, or close it if not reusable."""
         if not connection.reusable:
             connection.close()
--- a/burdockdrum/http1/heads.py
+++ b/burdockdrum/http1/heads.py
@@ -31,7 +31,7 @@
     return None
 
 
-def without_connection_headers(
+def remove_hop_by_hop_headers(
     headers: Headers, dropped: frozenset[bytes] = frozenset()
 ) -> Headers:
     """Return headers without those of the hop or of the body's framing.
--- a/burdockdrum/http1/server.py
+++ b/burdockdrum/http1/server.py
@@ -61,7 +61,7 @@
 class Exchange:
     """A request and the response to it.
 
-    A handler calls either ``answer`` once, or ``start``, ``write`` and
+    A handler calls either ``respond`` once, or ``start``, ``write`` and
     ``finish``. Without ``finish`` the connection is closed before the last
     chunk, so that the caller detects a truncated response.
     """
@@ -76,7 +76,7 @@
         self._connection = connection
         self._chunked = False
 
-    def answer(self, status: int, headers: Headers, body: bytes) -> None:
+    def respond(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a complete response."""
         length = (b"content-length", b"%d" % len(body))
         head = self._encode_head(status, [*headers, length])
@@ -310,7 +310,7 @@
             # An unhandled exception must not end the connection's task.
             logger.opt(exception=error).error("the request handler failed")
             if not exchange.started:
-                exchange.answer(500, [], b"")
+                exchange.respond(500, [], b"")
         if not exchange.finished:
             self._close_incomplete()
             return
--- a/burdockdrum/passthrough/attempts.py
+++ b/burdockdrum/passthrough/attempts.py
@@ -192,14 +192,14 @@
         splitter: ResumableEventSplitter,
     ) -> Outcome:
         try:
-            connection = await call.pool.take(
+            connection = await call.pool.acquire(
                 call.address, timeout=call.connect_timeout_seconds
             )
         except NotConnected as error:
             return NotStarted(reason=str(error), reached=False)
         left = self._seconds_left(request) + DEADLINE_GRACE_SECONDS
         if left <= DEADLINE_GRACE_SECONDS:
-            call.pool.give_back(call.address, connection)
+            call.pool.release(call.address, connection)
             return NotStarted(
                 reason="the deadline passed before the request was sent",
                 reached=False,
@@ -227,7 +227,7 @@
             call.disarm_watchdog()
             # The pool closes a connection whose response was not read to its
             # end, which cancels the request at the other side.
-            call.pool.give_back(call.address, connection)
+            call.pool.release(call.address, connection)
 
     async def _receive(
         self,
@@ -264,7 +264,7 @@
         body, whole = await read_buffered(connection)
         headers = self._responses.headers_for_caller(head)
         if whole:
-            exchange.answer(head.status, headers, body)
+            exchange.respond(head.status, headers, body)
             return Delivered(status=head.status)
         exchange.start(head.status, headers)
         exchange.write(body)
--- a/burdockdrum/passthrough/payloads.py
+++ b/burdockdrum/passthrough/payloads.py
@@ -5,7 +5,7 @@
 
 from burdockdrum.http1 import encode_request
 from burdockdrum.http1 import Headers
-from burdockdrum.http1 import without_connection_headers
+from burdockdrum.http1 import remove_hop_by_hop_headers
 from burdockdrum.passthrough.header_names import HeaderNames
 from burdockdrum.passthrough.header_names import HOP_ATTEMPTS
 from burdockdrum.passthrough.header_names import HOP_HEADERS
@@ -89,7 +89,7 @@
         last_event: int | None,
     ) -> Headers:
         names = self._names
-        headers = without_connection_headers(
+        headers = remove_hop_by_hop_headers(
             request.head.headers, self._dropped
         )
         if request.head.find(names.request_id) is None:
--- a/burdockdrum/passthrough/refusal_responses.py
+++ b/burdockdrum/passthrough/refusal_responses.py
@@ -57,4 +57,4 @@
         headers.append((b"retry-after", b"%.2f" % seconds))
     if to_vm:
         headers.append((VERDICT, refusal.verdict.value.encode()))
-    exchange.answer(status, headers, refusal.message.encode())
+    exchange.respond(status, headers, refusal.message.encode())
--- a/burdockdrum/passthrough/relay.py
+++ b/burdockdrum/passthrough/relay.py
@@ -310,7 +310,7 @@
             provenance = self._names.provenance
             headers = [h for h in headers if h[0].lower() != provenance]
             status = MAYBE_RUN_STATUS
-        exchange.answer(status, headers, failure.body)
+        exchange.respond(status, headers, failure.body)
 
     def _refuse(
         self,
--- a/burdockdrum/passthrough/responses.py
+++ b/burdockdrum/passthrough/responses.py
@@ -8,9 +8,9 @@
 from burdockdrum.http1 import Headers
 from burdockdrum.http1 import parse_count
 from burdockdrum.http1 import parse_seconds
+from burdockdrum.http1 import remove_hop_by_hop_headers
 from burdockdrum.http1 import ResponseHead
 from burdockdrum.http1 import ResponseLost
-from burdockdrum.http1 import without_connection_headers
 from burdockdrum.passthrough.header_names import HeaderNames
 from burdockdrum.passthrough.header_names import HOP_HEADERS
 from burdockdrum.passthrough.header_names import HOP_USED_ATTEMPTS
@@ -70,7 +70,7 @@
 
     def headers_for_caller(self, head: ResponseHead) -> Headers:
         """Return the response headers to forward to the caller."""
-        return without_connection_headers(head.headers, HOP_HEADERS)
+        return remove_hop_by_hop_headers(head.headers, HOP_HEADERS)
 
 
 async def read_buffered(connection: ClientConnection) -> tuple[bytes, bool]:
--- a/tests/fuzzing/test_http1.py
+++ b/tests/fuzzing/test_http1.py
@@ -42,7 +42,7 @@
 
         async def handle(exchange):
             bodies.append(exchange.request.body)
-            exchange.answer(200, [], b"")
+            exchange.respond(200, [], b"")
 
         await self.open(handle, header_seconds=0.05, idle_seconds=0.05)
         answer = await self.send(data)
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -38,7 +38,7 @@
         return address
 
     async def call(self, address, request_id=b"1"):
-        connection = await self.pool.take(address, timeout=1)
+        connection = await self.pool.acquire(address, timeout=1)
         head = encode_request(b"GET", b"/", [(b"host", b"x")])
         connection.send(head, request_id)
         try:
@@ -48,7 +48,7 @@
                 while (part := await connection.read_part()) is not None:
                     body += part
         finally:
-            self.pool.give_back(address, connection)
+            self.pool.release(address, connection)
         return response, body
 
     async def test_connection_is_reused(self):
@@ -112,7 +112,7 @@
         self.addAsyncCleanup(server.close)
         self.pool = ConnectionPool(id_header=b"x-id")
         # Unread bytes at the peer make its close a reset.
-        connection = await self.pool.take(address, timeout=1)
+        connection = await self.pool.acquire(address, timeout=1)
         connection.send(
             encode_request(b"GET", b"/", [(b"host", b"x")]) + b"x" * 4_000_000,
             b"1",
@@ -155,14 +155,14 @@
         self.pool = ConnectionPool(id_header=b"x-id")
         bodies = [b"a" * 3_000_000, b"b" * 10, b"c" * 3_000_000]
         for body in bodies:
-            connection = await self.pool.take(address, timeout=1)
+            connection = await self.pool.acquire(address, timeout=1)
             length = (b"content-length", b"%d" % len(body))
             head = encode_request(b"POST", b"/", [(b"host", b"x"), length])
             connection.send(head + body, b"1")
             self.assertEqual(200, (await connection.read_head()).status)
             while await connection.read_part() is not None:
                 pass
-            self.pool.give_back(address, connection)
+            self.pool.release(address, connection)
         await asyncio.sleep(0.4)
         self.assertEqual(bodies, received)
         self.assertEqual(1, server.connections)
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -12,7 +12,7 @@
 async def echo(exchange):
     request = exchange.request
     body = request.method + b" " + request.target + b" " + request.body
-    exchange.answer(200, [], body)
+    exchange.respond(200, [], body)
 
 
 class ServerTest(ListenerCase, unittest.IsolatedAsyncioTestCase):
