--- a/burdockdrum/configuration/control.py
+++ b/burdockdrum/configuration/control.py
@@ -24,7 +24,7 @@
 from burdockdrum.ports import Clock
 from burdockdrum.resources import Change
 from burdockdrum.resources import Configuration
-from burdockdrum.resources import Revised
+from burdockdrum.resources import ResourceRevision
 
 BARRIER_INTERVAL_SECONDS = 1.0
 # Shorter until the first confirmation after a start, because until then all
@@ -163,9 +163,9 @@
         self._local.confirm_current(moment)
         return True
 
-    def _apply_revision(self, revised: Revised | None) -> None:
+    def _apply_revision(self, change: ResourceRevision | None) -> None:
         history = self._local.history
-        if revised is None or not history.advance([revised]):
+        if change is None or not history.advance([change]):
             history.replace(self._store.configuration)
 
     async def _receive_proposal(
--- a/burdockdrum/configuration/follower.py
+++ b/burdockdrum/configuration/follower.py
@@ -264,7 +264,7 @@
         self._compare_digests(sender, message)
 
     def _apply_snapshot(self, sender: Sender, message: Update) -> None:
-        configuration = Configuration.of(
+        configuration = Configuration.from_resources(
             message.revision, message.resources or []
         )
         current = self._local.current
--- a/burdockdrum/configuration/history.py
+++ b/burdockdrum/configuration/history.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from burdockdrum.resources import Configuration
-from burdockdrum.resources import Revised
+from burdockdrum.resources import ResourceRevision
 
 # Covers two and a half hours at 9,500 changes a day.
 KEPT_REVISIONS = 1000
@@ -37,7 +37,9 @@
         """Create a history at revision 0."""
         self.current = Configuration()
         self.listeners: list[Callable[[Configuration], None]] = []
-        self._changes = collections.deque[Revised](maxlen=KEPT_REVISIONS)
+        self._changes = collections.deque[ResourceRevision](
+            maxlen=KEPT_REVISIONS
+        )
         self._revision_added = asyncio.Event()
 
     @property
@@ -45,7 +47,7 @@
         """Return the oldest revision whose later changes are all kept."""
         return self.current.revision - len(self._changes)
 
-    def advance(self, changes: list[Revised]) -> bool:
+    def advance(self, changes: list[ResourceRevision]) -> bool:
         """Apply changes that follow the current revision.
 
         Changes that were applied already are skipped.
@@ -73,7 +75,7 @@
         self._set_current(configuration)
         return True
 
-    def changes_after(self, revision: int) -> list[Revised]:
+    def changes_after(self, revision: int) -> list[ResourceRevision]:
         """Return the changes after a revision, oldest first.
 
         :raises RevisionGone: if some are no longer kept
@@ -84,7 +86,7 @@
         start = len(self._changes) - max(0, count)
         return [self._changes[i] for i in range(start, len(self._changes))]
 
-    async def watch(self, revision: int) -> AsyncIterator[Revised]:
+    async def watch(self, revision: int) -> AsyncIterator[ResourceRevision]:
         """Yield the changes after a revision as they occur, endlessly.
 
         Watchers have no queues of their own, so that a slow one gets an error
--- a/burdockdrum/configuration/messages.py
+++ b/burdockdrum/configuration/messages.py
@@ -10,7 +10,7 @@
 from burdockdrum.resources import Change
 from burdockdrum.resources import ChangeResult
 from burdockdrum.resources import Resource
-from burdockdrum.resources import Revised
+from burdockdrum.resources import ResourceRevision
 
 
 class Propose(Message, frozen=True, kw_only=True):
@@ -88,7 +88,7 @@
     echo: float
     age: float | None
     synced: bool
-    changes: list[Revised] = []
+    changes: list[ResourceRevision] = []
     resources: list[Resource] | None = None
     vm_ids_digest: int = 0
     control_addresses: dict[str, str] | None = None
--- a/burdockdrum/configuration/service.py
+++ b/burdockdrum/configuration/service.py
@@ -32,7 +32,7 @@
 from burdockdrum.resources import Change
 from burdockdrum.resources import ChangeResult
 from burdockdrum.resources import Configuration
-from burdockdrum.resources import Revised
+from burdockdrum.resources import ResourceRevision
 from burdockdrum.timeline import Timeline
 
 CHANGE_SECONDS = 6.0
@@ -209,14 +209,14 @@
         """Call a function with each new configuration in force here."""
         self._local.history.listeners.append(listener)
 
-    def watch(self, revision: int) -> AsyncIterator[Revised]:
+    def watch(self, revision: int) -> AsyncIterator[ResourceRevision]:
         """Yield the changes after a revision as they come in force here.
 
         :raises RevisionGone: if some are no longer kept
         """
         return self._local.history.watch(revision)
 
-    def changes_after(self, revision: int) -> list[Revised]:
+    def changes_after(self, revision: int) -> list[ResourceRevision]:
         """Return the changes after a revision that are in force here.
 
         :raises RevisionGone: if some are no longer kept
--- a/burdockdrum/resources/__init__.py
+++ b/burdockdrum/resources/__init__.py
@@ -8,7 +8,7 @@
 from burdockdrum.resources.errors import ResourceError
 from burdockdrum.resources.kinds import Resource
 from burdockdrum.resources.kinds import ResourceKey
-from burdockdrum.resources.kinds import Revised
+from burdockdrum.resources.kinds import ResourceRevision
 from burdockdrum.resources.kinds import Spec
 from burdockdrum.resources.kinds import SPECS_BY_KIND
 from burdockdrum.resources.recorded_results import MAX_RECORDED_RESULTS
@@ -72,8 +72,8 @@
     "Resource",
     "ResourceError",
     "ResourceKey",
+    "ResourceRevision",
     "ResourceStore",
-    "Revised",
     "Route",
     "RouteTableSpec",
     "RouteTeam",
--- a/burdockdrum/resources/configuration.py
+++ b/burdockdrum/resources/configuration.py
@@ -10,7 +10,7 @@
 from burdockdrum.resources.digest import digest_resource
 from burdockdrum.resources.kinds import Resource
 from burdockdrum.resources.kinds import ResourceKey
-from burdockdrum.resources.kinds import Revised
+from burdockdrum.resources.kinds import ResourceRevision
 from burdockdrum.resources.routes import EvacuationSpec
 from burdockdrum.resources.routes import RouteTableSpec
 from burdockdrum.resources.specs import ClientSpec
@@ -36,7 +36,7 @@
     digest: int = 0
 
     @classmethod
-    def of(
+    def from_resources(
         cls, revision: int, resources: Iterable[Resource]
     ) -> "Configuration":
         """Create a configuration of the given resources."""
@@ -48,7 +48,7 @@
             digest=sum(digests) & DIGEST_MASK,
         )
 
-    def revise(self, changes: Iterable[Revised]) -> "Configuration":
+    def revise(self, changes: Iterable[ResourceRevision]) -> "Configuration":
         """Return the configuration with changes applied in order."""
         revision, digest = self.revision, self.digest
         resources_by_key = dict(self.resources_by_key)
--- a/burdockdrum/resources/kinds.py
+++ b/burdockdrum/resources/kinds.py
@@ -63,7 +63,7 @@
         return ResourceKey(self.kind, self.name)
 
 
-class Revised(msgspec.Struct, frozen=True, kw_only=True):
+class ResourceRevision(msgspec.Struct, frozen=True, kw_only=True):
     """The change of one revision; ``resource`` is None for a deletion."""
 
     revision: int
--- a/burdockdrum/resources/store.py
+++ b/burdockdrum/resources/store.py
@@ -8,7 +8,7 @@
 from burdockdrum.resources.errors import ResourceError
 from burdockdrum.resources.kinds import Resource
 from burdockdrum.resources.kinds import ResourceKey
-from burdockdrum.resources.kinds import Revised
+from burdockdrum.resources.kinds import ResourceRevision
 from burdockdrum.resources.kinds import Spec
 from burdockdrum.resources.recorded_results import digest_change
 from burdockdrum.resources.recorded_results import RecordedResult
@@ -105,7 +105,7 @@
     def __init__(self) -> None:
         """Create an empty store at revision 0."""
         self.configuration = Configuration()
-        self.listeners: list[Callable[[Revised | None], None]] = []
+        self.listeners: list[Callable[[ResourceRevision | None], None]] = []
         self._results = RecordedResults()
 
     def apply(self, change: Change) -> ChangeResult:
@@ -144,7 +144,7 @@
 
     def restore(self, snapshot: StoreSnapshot) -> None:
         """Replace the state with that of a snapshot."""
-        self.configuration = Configuration.of(
+        self.configuration = Configuration.from_resources(
             snapshot.revision, snapshot.resources
         )
         self._results = RecordedResults(snapshot.answers)
@@ -241,11 +241,11 @@
             resource = Resource(
                 kind=key.kind, name=key.name, version=revision, spec=spec
             )
-        revised = Revised(
+        resource_revision = ResourceRevision(
             revision=revision, kind=key.kind, name=key.name, resource=resource
         )
-        self.configuration = self.configuration.revise([revised])
-        self._notify_listeners(revised)
+        self.configuration = self.configuration.revise([resource_revision])
+        self._notify_listeners(resource_revision)
         return self._acknowledge()
 
     def _refuse(self, message: str) -> ChangeResult:
@@ -259,9 +259,11 @@
         key = ResourceKey(change.kind, change.name)
         return self.configuration.resources_by_key.get(key)
 
-    def _notify_listeners(self, revised: Revised | None) -> None:
+    def _notify_listeners(
+        self, resource_revision: ResourceRevision | None
+    ) -> None:
         for listener in self.listeners:
-            listener(revised)
+            listener(resource_revision)
 
 
 def _make_resource(change: Put | Delete, revision: int) -> Resource | None:
--- a/burdockdrum/web/operator_handlers.py
+++ b/burdockdrum/web/operator_handlers.py
@@ -26,7 +26,7 @@
 from burdockdrum.resources import Resource
 from burdockdrum.resources import ResourceError
 from burdockdrum.resources import ResourceKey
-from burdockdrum.resources import Revised
+from burdockdrum.resources import ResourceRevision
 from burdockdrum.settings import Settings
 from burdockdrum.timeline import Timeline
 from burdockdrum.verdicts import Refusal
@@ -200,7 +200,7 @@
         return Response(200, None, content)
 
     async def _watch_events(
-        self, first: Iterable[Revised], revision: int
+        self, first: Iterable[ResourceRevision], revision: int
     ) -> AsyncIterator[bytes]:
         for change in first:
             yield _encode_event(change)
@@ -324,7 +324,7 @@
     return None
 
 
-def _list_events(configuration: Configuration) -> list[Revised]:
+def _list_events(configuration: Configuration) -> list[ResourceRevision]:
     # Sorted by version, so that an interrupted watch can resume after the id
     # of any event.
     resources = sorted(
@@ -332,7 +332,7 @@
         key=lambda resource: resource.version,
     )
     return [
-        Revised(
+        ResourceRevision(
             revision=resource.version,
             kind=resource.kind,
             name=resource.name,
@@ -342,7 +342,7 @@
     ]
 
 
-def _encode_event(change: Revised) -> bytes:
+def _encode_event(change: ResourceRevision) -> bytes:
     data = msgspec.json.encode(change)
     return b"id: %d\ndata: %b\n\n" % (change.revision, data)
 
--- a/scripts/bench/configuration.py
+++ b/scripts/bench/configuration.py
@@ -197,7 +197,7 @@
     tracemalloc.start()
     resources = list(_letter_resources())
     before = tracemalloc.get_traced_memory()[0]
-    configuration = Configuration.of(len(resources), resources)
+    configuration = Configuration.from_resources(len(resources), resources)
     started = time.process_time()
     entries = len(configuration.client_ids_by_token_hash)
     entries += len(configuration.services_by_name)
--- a/scripts/bench/team_limits.py
+++ b/scripts/bench/team_limits.py
@@ -86,7 +86,7 @@
         resource = Resource(
             kind="route_table", name="main", version=1, spec=table
         )
-        self.current = Configuration.of(1, [resource])
+        self.current = Configuration.from_resources(1, [resource])
 
 
 class Bed:
--- a/tests/callers/fakes.py
+++ b/tests/callers/fakes.py
@@ -36,7 +36,7 @@
         resource = Resource(
             kind="route_table", name="main", version=generation, spec=table
         )
-        self.current = Configuration.of(generation, [resource])
+        self.current = Configuration.from_resources(generation, [resource])
 
     async def wait_until_known(self, seconds):
         """Return at once."""
--- a/tests/configuration/test_passing_on.py
+++ b/tests/configuration/test_passing_on.py
@@ -129,7 +129,9 @@
                 spec=RegionSpec(description="wrong"),
             )
             service = deployment.configuration("s1.3")
-            service._local.history.replace(Configuration.of(1, [wrong]))
+            service._local.history.replace(
+                Configuration.from_resources(1, [wrong])
+            )
             await asyncio.sleep(5)
             right = deployment.configuration("n1.1").current
             self.assertEqual(
--- a/tests/resources/test_routes.py
+++ b/tests/resources/test_routes.py
@@ -116,8 +116,8 @@
         revisions = []
         self.store.listeners.append(revisions.append)
         self.replace(4, make_route(), make_route(name="b", host="b"))
-        (revised,) = revisions
-        self.assertEqual(2, len(revised.resource.spec.routes))
+        (resource_revision,) = revisions
+        self.assertEqual(2, len(resource_revision.resource.spec.routes))
 
 
 class EvacuationTest(unittest.TestCase):
--- a/tests/resources/test_store.py
+++ b/tests/resources/test_store.py
@@ -192,7 +192,7 @@
                 fields = {"description": str(number)}
                 store.apply(put(f"{number}", "region", name, fields, version))
         configuration = store.configuration
-        whole = Configuration.of(
+        whole = Configuration.from_resources(
             configuration.revision, configuration.resources_by_key.values()
         )
         self.assertEqual(whole, configuration)
