--- a/scripts/bench/team_limits.py
+++ b/scripts/bench/team_limits.py
@@ -90,10 +90,10 @@
 
 
 class Bed:
-    """A keeper with its meter, in memory."""
+    """An aggregator with its meter, in memory."""
 
     def __init__(self, *, teams: int) -> None:
-        """Create a keeper that does not run."""
+        """Create an aggregator that does not run."""
         self.teams = teams
         self.configuration = FixedConfiguration(teams=teams)
         self.finder = CallerFinder(
@@ -153,7 +153,7 @@
         return (time.process_time() - began) / requests
 
     async def answer(self, entries: int) -> float:
-        """Return the seconds that a keeper's answer to one entry takes."""
+        """Return the seconds of an aggregator's reply to one entry."""
         report = UsageReport(uses=self._uses())
         began = time.process_time()
         for number in range(ANSWERS):
@@ -166,7 +166,7 @@
         return (time.process_time() - began) / ANSWERS
 
     def message_bytes(self) -> int:
-        """Return the size of what a keeper tells another."""
+        """Return the size of what an aggregator sends to another."""
         message = DataCentreUsage(
             data_centre="d", aggregator="tcp://vm:1", uses=self._uses()
         )
