--- a/burdockdrum/web/services.py
+++ b/burdockdrum/web/services.py
@@ -5,13 +5,13 @@
 from blacksheep import Application
 
 from burdockdrum.callers import CallerFinder
-from burdockdrum.claims import Claims
+from burdockdrum.claims import ClaimService
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.consensus import ReplicatedLog
 from burdockdrum.endpoints import EndpointRegistry
 from burdockdrum.kernel import Kernel
 from burdockdrum.metrics import Metrics
-from burdockdrum.peers import Seal
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.ports import Clock
 from burdockdrum.quarantine import Quarantine
 from burdockdrum.requests import RequestService
@@ -56,7 +56,7 @@
         ),
         peers=PeerHandlers(
             settings=kernel.find("settings", Settings),
-            seal=kernel.find("seal", Seal),
+            payload_authenticator=kernel.find("seal", PayloadAuthenticator),
             clock=kernel.find("clock", Clock),
             requests=kernel.find("requests", RequestService),
         ),
@@ -74,7 +74,7 @@
         authenticator=authenticator,
         configuration=kernel.find("configuration", ConfigurationService),
         requests=kernel.find("requests", RequestService),
-        claims=kernel.find("claims", Claims),
+        claims=kernel.find("claims", ClaimService),
         vms=kernel.find("vms", VmDirectory),
     )
 
--- a/scripts/bench/team_limits.py
+++ b/scripts/bench/team_limits.py
@@ -26,8 +26,8 @@
 from burdockdrum.callers import RankOrder
 from burdockdrum.callers import route_for
 from burdockdrum.metrics import Metrics
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.peers import Peers
-from burdockdrum.peers import Seal
 from burdockdrum.peers import Sender
 from burdockdrum.peers import VmIdentity
 from burdockdrum.quotas.messages import DataCentreUsage
@@ -86,14 +86,14 @@
         resource = Resource(
             kind="route_table", name="main", version=1, spec=table
         )
-        self.current = Configuration.of(1, [resource])
+        self.current = Configuration.from_resources(1, [resource])
 
 
 class Bed:
-    """A keeper with its meter, in memory."""
+    """An aggregator with its meter, in memory."""
 
     def __init__(self, *, teams: int) -> None:
-        """Create a keeper that does not run."""
+        """Create an aggregator that does not run."""
         self.teams = teams
         self.configuration = FixedConfiguration(teams=teams)
         self.finder = CallerFinder(
@@ -119,7 +119,7 @@
             clock=self.clock,
             hybrid_clock=HybridClock(clock=self.clock),
             rng=self.rng,
-            seal=Seal(secret=b"s"),
+            authenticator=PayloadAuthenticator(secret=b"s"),
             metrics=Metrics(),
         )
         self.sharing = UsageSharing(
@@ -153,7 +153,7 @@
         return (time.process_time() - began) / requests
 
     async def answer(self, entries: int) -> float:
-        """Return the seconds that a keeper's answer to one entry takes."""
+        """Return the seconds of an aggregator's reply to one entry."""
         report = UsageReport(uses=self._uses())
         began = time.process_time()
         for number in range(ANSWERS):
@@ -166,7 +166,7 @@
         return (time.process_time() - began) / ANSWERS
 
     def message_bytes(self) -> int:
-        """Return the size of what a keeper tells another."""
+        """Return the size of what an aggregator sends to another."""
         message = DataCentreUsage(
             data_centre="d", aggregator="tcp://vm:1", uses=self._uses()
         )
--- a/tests/fuzzing/test_peer_messages.py
+++ b/tests/fuzzing/test_peer_messages.py
@@ -10,7 +10,7 @@
 
 from burdockdrum.metrics import Metrics
 from burdockdrum.peers import Message
-from burdockdrum.peers import Seal
+from burdockdrum.peers import PayloadAuthenticator
 from burdockdrum.testing import FakeNetwork
 from burdockdrum.testing import make_peers
 from burdockdrum.testing import run_virtual
@@ -67,7 +67,9 @@
     body = msgspec.Raw(msgspec.msgpack.encode(note))
     envelope = (Note.kind(), 0, False, body)
     frame = ("other", "mem://other:1", 1, (0, 0), [envelope])
-    return Seal(secret=SECRET).close(msgspec.msgpack.encode(frame))
+    return PayloadAuthenticator(secret=SECRET).sign(
+        msgspec.msgpack.encode(frame)
+    )
 
 
 class PeerMessageTest(unittest.TestCase):
@@ -85,7 +87,7 @@
     def test_sealed_garbage(self, content):
         # A VM of another version, or a faulty one, has the secret: its
         # signature is valid, but the payload does not decode.
-        payload = Seal(secret=SECRET).close(content)
+        payload = PayloadAuthenticator(secret=SECRET).sign(content)
         handled, _ = run_virtual(receive_all([payload]))
         self.assertEqual([7], handled)
 
--- a/tests/histories/test_checkers.py
+++ b/tests/histories/test_checkers.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest import mock
 
-from burdockdrum.claims import Claims
+from burdockdrum.claims import ClaimService
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.endpoints import Endpoint
 from burdockdrum.endpoints import EndpointRegistry
@@ -161,10 +161,10 @@
 
     def test_at_most_once(self):
         # Each claim is acquired under a new key, so none conflicts.
-        original = Claims.take
+        original = ClaimService.acquire
         count = iter(range(1000))
 
-        async def use_fresh_key(claims: Claims, **options):
+        async def use_fresh_key(claims: ClaimService, **options):
             options["key"] = f"{options['key']}-{next(count)}"
             return await original(claims, **options)
 
@@ -176,7 +176,7 @@
             )
             for number, region in enumerate([*REGIONS, *REGIONS])
         ]
-        history = run(plan, (Claims, "take", use_fresh_key))
+        history = run(plan, (ClaimService, "acquire", use_fresh_key))
         self.assert_found("at most once", history)
 
     def test_leaving(self):
