--- a/burdockdrum/configuration/services.py
+++ b/burdockdrum/configuration/services.py
@@ -58,7 +58,7 @@
     members = settings.control.members
     is_founder = settings.vm.id in members
 
-    def read_addresses() -> list[str]:
+    def read_control_addresses() -> list[str]:
         service = kernel.find("configuration", ConfigurationService)
         learned = service.control_addresses.values()
         return [*members.values(), *settings.cluster.join, *learned]
@@ -66,11 +66,11 @@
     return LogSettings(
         vm_id=settings.vm.id,
         bootstrap_addresses_by_id=members if is_founder else {},
-        voters=settings.control.voters,
+        target_voter_count=settings.control.voters,
         election_timeout_seconds=settings.control.election_seconds,
         heartbeat_seconds=settings.control.election_seconds / 5,
         call_timeout_seconds=settings.control.election_seconds / 2,
-        read_addresses=read_addresses,
+        read_control_addresses=read_control_addresses,
     )
 
 
--- a/burdockdrum/consensus/interface.py
+++ b/burdockdrum/consensus/interface.py
@@ -82,9 +82,9 @@
     configuration, this one included. It is read only while the data folder
     is empty; it is empty on a VM that is to be added later.
 
-    ``voters`` is the number of voters that the cluster maintains, 0 if
-    operators do; ``read_addresses`` returns the addresses of the control
-    VMs that receive join requests.
+    ``target_voter_count`` is the number of voters that the cluster maintains,
+    0 if operators do; ``read_control_addresses`` returns the addresses of the
+    control VMs that receive join requests.
 
     ``max_clock_drift`` is the largest error of a VM's clock rate, as a
     fraction; the leader's lease depends on it.
@@ -92,8 +92,8 @@
 
     vm_id: str
     bootstrap_addresses_by_id: Mapping[str, str] = field(default_factory=dict)
-    voters: int = 0
-    read_addresses: Callable[[], Iterable[str]] = tuple
+    target_voter_count: int = 0
+    read_control_addresses: Callable[[], Iterable[str]] = tuple
     heartbeat_seconds: float = 0.25
     election_timeout_seconds: float = 1.2
     call_timeout_seconds: float = 0.6
--- a/burdockdrum/consensus/log.py
+++ b/burdockdrum/consensus/log.py
@@ -226,7 +226,7 @@
         """
         await self._change_members(vm_id, None, timeout)
 
-    async def step_aside(self) -> None:
+    async def transfer_leadership(self) -> None:
         """Transfer leadership, if this VM has it, before a shutdown."""
         if self._replica is not None:
             await self._leadership.transfer_leadership()
@@ -312,8 +312,8 @@
             leadership=self._leadership,
             changes=self._member_changes,
             peers=peers,
-            voters=self._settings.voters,
-            read_addresses=self._settings.read_addresses,
+            target_voter_count=self._settings.target_voter_count,
+            read_control_addresses=self._settings.read_control_addresses,
         )
         # Both register their handlers, which keeps them alive.
         Voting(replica=replica, founding=self._founding, peers=peers)
--- a/burdockdrum/consensus/self_repair.py
+++ b/burdockdrum/consensus/self_repair.py
@@ -53,20 +53,20 @@
         leadership: Leadership,
         changes: MemberChanges,
         peers: Peers,
-        voters: int,
-        read_addresses: Callable[[], Iterable[str]],
+        target_voter_count: int,
+        read_control_addresses: Callable[[], Iterable[str]],
     ) -> None:
         """Register the handler for join requests.
 
-        :param voters: the target number; 0 disables automatic changes
-        :param read_addresses: returns the addresses of control VMs
+        :param target_voter_count: 0 disables automatic changes
+        :param read_control_addresses: returns the addresses of control VMs
         """
         self._replica = replica
         self._leadership = leadership
         self._changes = changes
         self._peers = peers
-        self._voters = voters
-        self._read_addresses = read_addresses
+        self._target_voter_count = target_voter_count
+        self._read_control_addresses = read_control_addresses
         self._received_by_vm_id: dict[str, _ReceivedJoinRequest] = {}
         self._newest_incarnation_by_vm_id: dict[str, int] = {}
         self._request_received = Signal()
@@ -74,7 +74,7 @@
 
     async def run(self) -> None:
         """Send or handle join requests until cancelled."""
-        while self._voters:
+        while self._target_voter_count:
             if self._needs_to_join():
                 self._send_join_requests()
             elif (
@@ -106,7 +106,7 @@
             disk_id=replica.disk_id,
             incarnation=identity.incarnation,
         )
-        for address in set(self._read_addresses()):
+        for address in set(self._read_control_addresses()):
             if address != identity.control_address:
                 self._peers.send(address, request)
 
@@ -170,7 +170,7 @@
         VMs that are not needed as voters stay learners: all VMs follow the
         members, and endpoints may register with any of them.
         """
-        limit = self._voters + MAX_SPARE_LEARNERS
+        limit = self._target_voter_count + MAX_SPARE_LEARNERS
         unreachable = self._leadership.voter_membership.unreachable_members(
             LEARNER_TIMEOUT_SECONDS
         )
--- a/burdockdrum/consensus/voter_membership.py
+++ b/burdockdrum/consensus/voter_membership.py
@@ -68,7 +68,7 @@
     def find_change(self) -> VoterChange | None:
         """Return the next change of the members, if one is needed."""
         replica = self._replica
-        target = replica.settings.voters
+        target = replica.settings.target_voter_count
         voters = replica.configuration.voters
         ready = self._find_ready_learner()
         if ready is not None and (not target or len(voters) < target):
--- a/burdockdrum/vms/services.py
+++ b/burdockdrum/vms/services.py
@@ -56,9 +56,9 @@
         lists_seconds=settings.lists_seconds,
     )
     if kernel.has("log"):
-        # A leader that stops without stepping aside makes the control plane
+        # A leader that stops without a transfer makes the control plane
         # unavailable until the next election.
-        drain.add_hook(kernel.find("log", ReplicatedLog).step_aside)
+        drain.add_hook(kernel.find("log", ReplicatedLog).transfer_leadership)
     return drain
 
 
--- a/scripts/bench/consensus.py
+++ b/scripts/bench/consensus.py
@@ -66,7 +66,7 @@
     cluster = Cluster()
     cluster.network.set_default(delay=WAN_SECONDS, jitter=0.002)
     await cluster.start_all()
-    leader = await cluster.leader()
+    leader = await cluster.wait_for_leader()
     await asyncio.sleep(2)
     follower = next(log for log in cluster.logs if log is not leader)
     loop = asyncio.get_running_loop()
@@ -103,7 +103,7 @@
     cluster = Cluster(seed=seed)
     cluster.network.set_default(delay=WAN_SECONDS, jitter=0.002)
     await cluster.start_all()
-    leader = await cluster.leader()
+    leader = await cluster.wait_for_leader()
     await asyncio.sleep(2 + cluster.rng.random())
     vm_id = cluster.vm_of(leader).vm_id
     other = next(log for log in cluster.logs if log is not leader)
@@ -115,7 +115,7 @@
         case "cut":
             cluster.cut_off(vm_id)
         case "hand over":
-            await leader.step_aside()
+            await leader.transfer_leadership()
     accepted = False
     while not accepted:
         try:
@@ -143,7 +143,7 @@
     cluster = Cluster()
     cluster.network.set_default(delay=WAN_SECONDS)
     await cluster.start_all()
-    leader = await cluster.leader()
+    leader = await cluster.wait_for_leader()
     await asyncio.sleep(5)
     before = {vm_id: read_sent(vm.metrics) for vm_id, vm in members(cluster)}
     await asyncio.sleep(IDLE_SECONDS)
--- a/scripts/bench/replacement.py
+++ b/scripts/bench/replacement.py
@@ -56,15 +56,17 @@
     """Return what each loss took."""
     cluster: Cluster = Cluster(
         seed=losses,
-        voters=VOTERS,
-        read_addresses=lambda: [vm.address for vm in cluster.vms.values()],
+        target_voter_count=VOTERS,
+        read_control_addresses=lambda: [
+            vm.address for vm in cluster.vms.values()
+        ],
         election_timeout_seconds=ELECTION_SECONDS,
         heartbeat_seconds=ELECTION_SECONDS / 5,
         call_timeout_seconds=ELECTION_SECONDS / 2,
     )
     cluster.network.set_default(delay=REGION_DELAY)
     await cluster.start_all()
-    await cluster.leader()
+    await cluster.wait_for_leader()
     replacements = []
     for _ in range(losses):
         await asyncio.sleep(REST_SECONDS)
--- a/tests/consensus/cluster.py
+++ b/tests/consensus/cluster.py
@@ -191,9 +191,9 @@
         await self.stop(vm_id, power_loss=power_loss)
         await self.start(vm_id)
 
-    async def leader(self, *, seconds: float = 30.0) -> ReplicatedLog:
+    async def wait_for_leader(self, *, seconds: float = 30.0) -> ReplicatedLog:
         """Wait for a leader with a valid lease and return its log."""
-        await self.until(
+        await self.wait_until(
             lambda: any(log.is_leader for log in self.logs), seconds=seconds
         )
         return next(log for log in self.logs if log.is_leader)
@@ -202,7 +202,7 @@
         """Return the VM of a log."""
         return next(vm for vm in self.vms.values() if vm.log is log)
 
-    async def until(
+    async def wait_until(
         self, condition: Callable[[], Any], *, seconds: float = 30.0
     ) -> None:
         """Wait until a condition is true."""
@@ -215,10 +215,10 @@
                 raise AssertionError("waited in vain")
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
-    async def settle(self, *, seconds: float = 30.0) -> None:
+    async def wait_until_applied(self, *, seconds: float = 30.0) -> None:
         """Wait until every running VM has applied all committed entries."""
-        leader = await self.leader(seconds=seconds)
-        await self.until(
+        leader = await self.wait_for_leader(seconds=seconds)
+        await self.wait_until(
             lambda: all(
                 log.applied_index >= leader.commit_index for log in self.logs
             ),
--- a/tests/consensus/histories.py
+++ b/tests/consensus/histories.py
@@ -33,7 +33,7 @@
     "slow_disk",
     "failing_disk",
     "full_disk",
-    "step_aside",
+    "transfer_leadership",
     "replace",
     "bad_links",
     "good_links",
@@ -107,7 +107,7 @@
         await cluster.start_all()
         monitor_task = asyncio.create_task(self._monitor())
         try:
-            await cluster.leader(seconds=60)
+            await cluster.wait_for_leader(seconds=60)
             async with asyncio.TaskGroup() as group:
                 for _ in range(CLIENTS):
                     group.create_task(self._run_client())
@@ -218,9 +218,9 @@
                 vm.disk.fail_syncs = True
             case "full_disk":
                 vm.disk.full = True
-            case "step_aside":
+            case "transfer_leadership":
                 if vm.task:
-                    self._spawn(vm.running.step_aside())
+                    self._spawn(vm.running.transfer_leadership())
             case "replace":
                 if self._replacing is None:
                     self._replacing = vm_id
@@ -301,14 +301,14 @@
             if vm.task and vm.running.role is Role.HALTED:
                 await cluster.stop(vm.vm_id)
         await self._start_all()
-        await cluster.until(lambda: self._replacing is None, seconds=60)
-        log = await cluster.leader(seconds=60)
+        await cluster.wait_until(lambda: self._replacing is None, seconds=60)
+        log = await cluster.wait_for_leader(seconds=60)
         for _ in range(5):
             if await self._write(log, timeout=10):
                 break
         else:
             raise Violation("no command gets through once all is mended")
-        await cluster.settle(seconds=60)
+        await cluster.wait_until_applied(seconds=60)
         commands = [vm.machine.commands for vm in cluster.vms.values()]
         if any(other != commands[0] for other in commands):
             raise Violation("members end with different states")
--- a/tests/consensus/test_full_stop.py
+++ b/tests/consensus/test_full_stop.py
@@ -44,7 +44,7 @@
         async def main(seed, size):
             cluster = make_cluster(seed, size)
             await cluster.start_all()
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             await leader.propose(b"first", timeout=5)
             await cluster.stop_all(power_loss=True)
             await asyncio.sleep(DOWNTIME_SECONDS)
@@ -53,10 +53,10 @@
                 await cluster.start(vm_id)
                 await asyncio.sleep(0.15 / size)
             began = loop.time()
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             self.assertLess(loop.time() - began, MAX_ELECTION_SECONDS)
             await leader.propose(b"second", timeout=5)
-            await cluster.settle()
+            await cluster.wait_until_applied()
             for vm in cluster.vms.values():
                 self.assertEqual([b"first", b"second"], vm.machine.commands)
             await cluster.stop_all()
@@ -73,9 +73,9 @@
         async def main(seed, lost):
             cluster = make_cluster(seed, 5)
             await cluster.start_all()
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             await leader.propose(b"first", timeout=5)
-            await cluster.settle()
+            await cluster.wait_until_applied()
             names = list(cluster.vms)
             if lost == "leader":
                 names.sort(key=lambda n: cluster.vms[n].log is not leader)
@@ -86,7 +86,7 @@
             loop = asyncio.get_running_loop()
             began = loop.time()
             await cluster.start_all()
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             self.assertLess(loop.time() - began, MAX_ELECTION_SECONDS)
             await leader.propose(b"second", timeout=5)
             self.assertEqual(
@@ -107,7 +107,7 @@
         async def main(seed):
             cluster = make_cluster(seed)
             await cluster.start_all()
-            old = await cluster.leader()
+            old = await cluster.wait_for_leader()
             await old.propose(b"x", timeout=5)
             holder = cluster.vm_of(old)
             followers = [v for v in cluster.vms.values() if v is not holder]
@@ -118,7 +118,7 @@
             while old.is_leader:
                 self.assertFalse(any(vm.log.is_leader for vm in followers))
                 await asyncio.sleep(0.005)
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: any(vm.log.is_leader for vm in followers)
             )
             await cluster.stop_all()
@@ -134,7 +134,7 @@
         async def main(seed):
             cluster = make_cluster(seed)
             await cluster.start_all()
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             term = leader.term
             for vm in list(cluster.vms.values()):
                 if vm.log is not leader:
@@ -154,15 +154,15 @@
         async def main():
             cluster = make_cluster(1)
             await cluster.start_all()
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             holder = cluster.vm_of(leader)
             vm, other = (v for v in cluster.vms.values() if v is not holder)
             stale_start = vm.running._replica.start_id
             cluster.cut_off(holder.vm_id)
             await asyncio.sleep(DELAY_SECONDS * 2)
             await cluster.restart(vm.vm_id)
-            await cluster.until(lambda: vm.log._replica is not None)
-            await cluster.until(lambda: vm.log._replica.admitted)
+            await cluster.wait_until(lambda: vm.log._replica is not None)
+            await cluster.wait_until(lambda: vm.log._replica.admitted)
             current_start = vm.running._replica.start_id
             self.assertTrue(leader.is_leader)
             self.assertFalse(await self.request_vote(other, vm, stale_start))
--- a/tests/consensus/test_histories.py
+++ b/tests/consensus/test_histories.py
@@ -136,7 +136,7 @@
         self.addCleanup(setattr, Storage, "_write_queue", honest_write)
 
         async def scenario(cluster, history):
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             for vm in cluster.vms.values():
                 vm.disk.sync_seconds = 5.0
             await write(history, leader, b"x")
@@ -144,7 +144,7 @@
             for vm in cluster.vms.values():
                 vm.disk.sync_seconds = 0.0
             await cluster.start_all()
-            await write(history, await cluster.leader(), b"y")
+            await write(history, await cluster.wait_for_leader(), b"y")
             history.check_final(cluster.vms["a"].machine.commands)
 
         self.assert_caught(scenario, "lost at the end")
@@ -163,7 +163,7 @@
         self.addCleanup(setattr, Leadership, "_watch_quorum", honest_watch)
 
         async def scenario(cluster, history):
-            old = await cluster.leader()
+            old = await cluster.wait_for_leader()
             cluster.cut_off(cluster.vm_of(old).vm_id)
             await asyncio.sleep(10)
             history.check_leases(
@@ -205,7 +205,7 @@
         self.addCleanup(setattr, RollbackDetector, "run", honest_run)
 
         async def scenario(cluster, history):
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             gone = cluster.vm_of(leader)
             late, emptied = (vm for vm in cluster.vms.values() if vm != gone)
             await cluster.stop(late.vm_id)
@@ -215,7 +215,7 @@
             await cluster.stop(gone.vm_id)
             await cluster.start(late.vm_id)
             await cluster.start(emptied.vm_id)
-            await write(history, await cluster.leader(), b"y")
+            await write(history, await cluster.wait_for_leader(), b"y")
             history.check_final(late.machine.commands)
 
         self.assert_caught(scenario, "lost at the end")
--- a/tests/consensus/test_log.py
+++ b/tests/consensus/test_log.py
@@ -15,7 +15,7 @@
 
     def test_commands_apply_on_all_members(self):
         async def use(cluster):
-            await cluster.leader()
+            await cluster.wait_for_leader()
             for number in range(10):
                 for vm_id in cluster.vms:
                     log = cluster.vms[vm_id].running
@@ -26,7 +26,7 @@
                     index = await log.read_barrier(timeout=5)
                     self.assertGreaterEqual(index, applied.index)
                     self.assertEqual(command, machine.commands[count - 1])
-            await cluster.settle()
+            await cluster.wait_until_applied()
             all_commands = [vm.machine.commands for vm in cluster.vms.values()]
             for commands in all_commands:
                 self.assertEqual(all_commands[0], commands)
@@ -38,7 +38,7 @@
 
     def test_large_command_is_refused(self):
         async def use(cluster):
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             with self.assertRaises(NotAccepted):
                 await leader.propose(b"x" * 2_000_000, timeout=5)
 
@@ -48,7 +48,7 @@
         # Uncommitted entries are kept in memory; beyond the limit, commands
         # are rejected for good.
         async def use(cluster):
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             cluster.cut_off(cluster.vm_of(leader).vm_id)
             proposing = [
                 asyncio.create_task(leader.propose(b"%d" % n, timeout=0.3))
@@ -64,7 +64,7 @@
 
     def test_member_catches_up_on_a_large_log(self):
         async def use(cluster):
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             stopped_id = next(
                 vm.vm_id for vm in cluster.vms.values() if vm.log != leader
             )
@@ -73,7 +73,7 @@
                 await leader.propose(bytes(200_000), timeout=5)
             cluster.network.set_default(delay=0.055)
             await cluster.start(stopped_id)
-            await cluster.settle()
+            await cluster.wait_until_applied()
             self.assertEqual(30, len(cluster.vms[stopped_id].machine.commands))
 
         settings = {"snapshot_every_bytes": 100_000_000}
@@ -81,7 +81,7 @@
 
     def test_listener_is_called_with_each_index(self):
         async def use(cluster):
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             seen = []
             leader.add_listener(seen.append)
             for _ in range(3):
--- a/tests/consensus/test_membership.py
+++ b/tests/consensus/test_membership.py
@@ -14,7 +14,7 @@
 
 async def replace(cluster, vm_id):
     """Remove a member and add its VM again with its current disk."""
-    leader = await cluster.leader()
+    leader = await cluster.wait_for_leader()
     vm = cluster.vms[vm_id]
     # Through a follower, which forwards the changes.
     other = next(log for log in cluster.logs if log not in (leader, vm.log))
@@ -52,7 +52,7 @@
                 self.assertEqual(Role.WAITING, log.role)
                 self.assertEqual(0, log.term)
             await cluster.start("c")
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             self.assertEqual(["a", "b", "c"], voters(leader))
             await cluster.stop_all()
 
@@ -68,7 +68,7 @@
             for vm_id in ("a", "b", "c"):
                 await asyncio.sleep(0.02 * seed)
                 await cluster.restart(vm_id, power_loss=True)
-            leader = await cluster.leader(seconds=60)
+            leader = await cluster.wait_for_leader(seconds=60)
             self.assertEqual(["a", "b", "c"], voters(leader))
             await cluster.stop_all()
             self.assertEqual([], cluster.errors)
@@ -81,9 +81,9 @@
         # Two of three founders, with the proposing one, lose their disks.
         # They must not form a new, empty cluster.
         async def use(cluster):
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             await leader.propose(b"kept", timeout=5)
-            await cluster.settle()
+            await cluster.wait_until_applied()
             await cluster.stop("a")
             await cluster.stop("b")
             cluster.vms["a"].disk.wipe()
@@ -109,7 +109,7 @@
         # The leader and b have a command, c is down. After b has lost its
         # disk, b and c must not elect a leader, as neither has the command.
         async def use(cluster):
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             c = await stop_follower(cluster, leader)
             await leader.propose(b"kept", timeout=5)
             b = await stop_follower_but(cluster, leader, c)
@@ -135,7 +135,7 @@
         # A member loses its disk and is added again. As soon as it is a
         # voter, another VM loses its disk. No acknowledged command is lost.
         async def use(cluster):
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             kept = []
             for number in range(120):
                 kept.append(b"%d" % number)
@@ -146,20 +146,20 @@
             await replace(cluster, emptied.vm_id)
             kept.append(b"meanwhile")
             await leader.propose(kept[-1], timeout=5)
-            await cluster.until(lambda: len(voters(leader)) == 3)
+            await cluster.wait_until(lambda: len(voters(leader)) == 3)
             second = next(
                 vm for vm in cluster.vms.values() if vm.log is leader
             )
             await cluster.stop(second.vm_id)
             second.disk.wipe()
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             await leader.read_barrier(timeout=5)
             self.assertEqual(kept, cluster.vm_of(leader).machine.commands)
             await cluster.start(second.vm_id)
             await asyncio.sleep(1)
             await replace(cluster, second.vm_id)
-            await cluster.until(lambda: len(voters(leader)) == 3)
-            await cluster.settle()
+            await cluster.wait_until(lambda: len(voters(leader)) == 3)
+            await cluster.wait_until_applied()
             self.assertEqual(kept, second.machine.commands)
 
         settings = {"snapshot_every_entries": 30, "keep_entries": 5}
@@ -169,7 +169,7 @@
 
     def test_unreachable_learner_is_in_no_quorum(self):
         async def use(cluster):
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             new = cluster.add_vm()
             await cluster.start(new.vm_id)
             await asyncio.sleep(1)
@@ -184,7 +184,7 @@
 
     def test_three_members_grow_to_five_and_back(self):
         async def use(cluster):
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             for number in range(2):
                 new = cluster.add_vm()
                 await cluster.start(new.vm_id)
@@ -193,15 +193,17 @@
                     new.vm_id, new.address, new.running.disk_id
                 )
                 size = 4 + number
-                await cluster.until(lambda n=size: len(voters(leader)) == n)
+                await cluster.wait_until(
+                    lambda n=size: len(voters(leader)) == n
+                )
             await leader.propose(b"x", timeout=5)
             own_id = cluster.vm_of(leader).vm_id
             await leader.remove_member(own_id)
             await cluster.stop(own_id)
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             self.assertEqual(4, len(voters(leader)))
             await leader.propose(b"y", timeout=5)
-            await cluster.settle()
+            await cluster.wait_until_applied()
             for log in cluster.logs:
                 commands = cluster.vm_of(log).machine.commands
                 self.assertEqual([b"x", b"y"], commands)
@@ -210,7 +212,7 @@
 
     def test_new_disk_is_rejected_until_the_old_one_is_removed(self):
         async def use(cluster):
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             vm = await stop_follower(cluster, leader, wipe=True)
             log = await cluster.start(vm.vm_id)
             await asyncio.sleep(1)
--- a/tests/consensus/test_partitions.py
+++ b/tests/consensus/test_partitions.py
@@ -25,7 +25,7 @@
         # reads before another leader is elected, and must not depose that
         # one when it returns.
         async def use(cluster):
-            old = await cluster.leader()
+            old = await cluster.wait_for_leader()
             await old.propose(b"before", timeout=5)
             vm_id = cluster.vm_of(old).vm_id
             cluster.cut_off(vm_id)
@@ -34,7 +34,7 @@
             self.assertFalse(any(log.is_leader for log in cluster.logs))
             with self.assertRaises(NotCurrent):
                 await old.read_barrier(timeout=1)
-            new = await cluster.leader()
+            new = await cluster.wait_for_leader()
             await new.propose(b"during", timeout=5)
             await asyncio.sleep(600)
             term = new.term
@@ -54,8 +54,8 @@
         # A lost message must not cost the caller its whole timeout, and the
         # command is applied once.
         async def use(cluster):
-            leader = await cluster.leader()
-            await cluster.settle()
+            leader = await cluster.wait_for_leader()
+            await cluster.wait_until_applied()
             vm_id = cluster.vm_of(leader).vm_id
             other = next(log for log in cluster.logs if log is not leader)
             cluster.network.cut([cluster.vm_of(other).vm_id], [vm_id])
@@ -70,7 +70,7 @@
 
     def test_write_on_an_isolated_leader_has_unknown_outcome(self):
         async def use(cluster):
-            old = await cluster.leader()
+            old = await cluster.wait_for_leader()
             cluster.cut_off(cluster.vm_of(old).vm_id)
             with self.assertRaises(OutcomeUnknown):
                 await old.propose(b"x", timeout=0.5)
@@ -81,13 +81,13 @@
         # Heartbeats arrive, but no replies come back. The followers elect
         # no other leader until this one steps down.
         async def use(cluster):
-            old = await cluster.leader()
+            old = await cluster.wait_for_leader()
             vm_id = cluster.vm_of(old).vm_id
             others = [other for other in cluster.vms if other != vm_id]
             cluster.network.cut(others, [vm_id], both=False)
             await asyncio.sleep(8)
             self.assertFalse(old.is_leader)
-            new = await cluster.leader()
+            new = await cluster.wait_for_leader()
             self.assertIsNot(old, new)
             await new.propose(b"x", timeout=5)
 
@@ -97,7 +97,7 @@
         # Its vote requests arrive. Members in contact with the leader deny
         # the pre-vote, so no term is raised.
         async def use(cluster):
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             term = leader.term
             vm_id = next(
                 vm.vm_id for vm in cluster.vms.values() if vm.log != leader
@@ -114,7 +114,7 @@
 
     def test_duplicated_delayed_and_lost_messages(self):
         async def use(cluster):
-            await cluster.leader()
+            await cluster.wait_for_leader()
             cluster.network.set_default(
                 delay=0.02, jitter=0.3, loss=0.1, duplicate=0.3
             )
@@ -127,7 +127,7 @@
                 except OutcomeUnknown:
                     pass
             cluster.network.set_default(jitter=0.0, loss=0.0, duplicate=0.0)
-            await cluster.settle()
+            await cluster.wait_until_applied()
             lists = [vm.machine.commands for vm in cluster.vms.values()]
             self.assertEqual(lists[0], lists[1])
             self.assertEqual(lists[0], lists[2])
@@ -140,7 +140,7 @@
         # The monotonic clock may stop during a suspension, so an expired
         # lease would look valid; only the wall clock has advanced.
         async def use(cluster):
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             vm = cluster.vm_of(leader)
             vm.clock._wall_offset += 10
             self.assertFalse(leader.is_leader)
@@ -152,9 +152,9 @@
     def test_leadership_is_transferred_before_a_shutdown(self):
         # A new leader is elected without waiting for an election timeout.
         async def use(cluster):
-            old = await cluster.leader()
+            old = await cluster.wait_for_leader()
             await old.propose(b"x", timeout=5)
-            await old.step_aside()
+            await old.transfer_leadership()
             await asyncio.sleep(0.5)
             new = next(log for log in cluster.logs if log.is_leader)
             self.assertIsNot(old, new)
--- a/tests/consensus/test_replacements.py
+++ b/tests/consensus/test_replacements.py
@@ -19,8 +19,10 @@
 def make_cluster(*, seed=1):
     cluster = Cluster(
         seed=seed,
-        voters=VOTERS,
-        read_addresses=lambda: [vm.address for vm in cluster.vms.values()],
+        target_voter_count=VOTERS,
+        read_control_addresses=lambda: [
+            vm.address for vm in cluster.vms.values()
+        ],
         election_timeout_seconds=0.6,
         heartbeat_seconds=0.12,
         call_timeout_seconds=0.3,
@@ -72,12 +74,12 @@
         async def main(seed):
             cluster = make_cluster(seed=seed)
             await cluster.start_all()
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             await leader.propose(b"first", timeout=5)
             kept = [b"first", *await scenario(cluster)]
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             await leader.propose(b"last", timeout=5)
-            await cluster.settle()
+            await cluster.wait_until_applied()
             for vm in cluster.vms.values():
                 if vm.task:
                     self.assertEqual([*kept, b"last"], vm.machine.commands)
@@ -100,7 +102,7 @@
         async def scenario(cluster):
             commands = []
             for number in range(10):
-                leader = await cluster.leader()
+                leader = await cluster.wait_for_leader()
                 commands.append(b"%d" % number)
                 await leader.propose(commands[-1], timeout=5)
                 await self.replace(cluster, oldest(cluster))
@@ -120,7 +122,7 @@
         # A new leader must detect the loss of its predecessor by itself.
         async def scenario(cluster):
             for number in range(5):
-                leader = await cluster.leader()
+                leader = await cluster.wait_for_leader()
                 await self.replace(cluster, cluster.vm_of(leader).vm_id)
                 took = await wait_until_redundant(
                     cluster, CATCH_UP_TIMEOUT_SECONDS
@@ -156,7 +158,7 @@
                 leaving = oldest(cluster)
                 await cluster.start(cluster.add_vm().vm_id)
                 await asyncio.sleep(2)
-                await cluster.vms[leaving].running.step_aside()
+                await cluster.vms[leaving].running.transfer_leadership()
                 await cluster.stop(leaving)
                 took = await wait_until_redundant(
                     cluster, CATCH_UP_TIMEOUT_SECONDS
@@ -193,7 +195,7 @@
             await cluster.start(cluster.add_vm().vm_id)
             await asyncio.sleep(2)
             for _ in range(3):
-                leader = await cluster.leader()
+                leader = await cluster.wait_for_leader()
                 cut = next(
                     vm_id
                     for vm_id in running_voters(cluster)
--- a/tests/consensus/test_self_repair.py
+++ b/tests/consensus/test_self_repair.py
@@ -10,12 +10,14 @@
 from tests.consensus.cluster import Cluster
 
 
-def make_cluster(*, size=3, seed=1, voters=3):
+def make_cluster(*, size=3, seed=1, target_voter_count=3):
     cluster = Cluster(
         size=size,
         seed=seed,
-        voters=voters,
-        read_addresses=lambda: [vm.address for vm in cluster.vms.values()],
+        target_voter_count=target_voter_count,
+        read_control_addresses=lambda: [
+            vm.address for vm in cluster.vms.values()
+        ],
     )
     cluster.network.set_default(delay=0.055)
     return cluster
@@ -50,7 +52,7 @@
     await cluster.start_all()
     for _ in range(3):
         await cluster.start(cluster.add_vm().vm_id)
-    leader = await cluster.leader()
+    leader = await cluster.wait_for_leader()
     if not await wait_for(lambda: len(leader.members) == 6, 10):
         raise AssertionError(f"members: {leader.members}")
     await asyncio.sleep(5)
@@ -70,7 +72,7 @@
         async def main(seed):
             cluster = make_cluster(seed=seed)
             await cluster.start_all()
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             await leader.propose(b"first", timeout=5)
             emptied = next(v for v in cluster.vms.values() if v.log is leader)
             await cluster.stop(emptied.vm_id)
@@ -80,9 +82,9 @@
             self.assertTrue(back)
             other = next(v for v in cluster.vms.values() if v is not emptied)
             await cluster.stop(other.vm_id)
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             await leader.propose(b"second", timeout=5)
-            await cluster.settle()
+            await cluster.wait_until_applied()
             self.assertEqual([b"first", b"second"], emptied.machine.commands)
             await cluster.stop_all()
             self.assertEqual([], cluster.errors)
@@ -97,7 +99,7 @@
         async def main():
             cluster = make_cluster()
             await cluster.start_all()
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             gone = next(v for v in cluster.vms.values() if v.log is not leader)
             await cluster.stop(gone.vm_id)
             newcomer = cluster.add_vm()
@@ -114,12 +116,12 @@
         # Endpoints register with every control VM. If the sixth were no
         # member, no entry VM would follow it.
         async def main():
-            cluster = make_cluster(size=3, voters=5)
+            cluster = make_cluster(size=3, target_voter_count=5)
             leader = await start_six(cluster)
             self.assertEqual(5, len(voters(leader)))
             self.assertEqual(6, len(leader.members))
             await leader.propose(b"x", timeout=5)
-            await cluster.settle()
+            await cluster.wait_until_applied()
             for vm in cluster.vms.values():
                 self.assertEqual([b"x"], vm.machine.commands)
             await cluster.stop_all()
@@ -130,7 +132,7 @@
     def test_learner_replaces_a_lost_voter(self):
         # After the promotion the cluster survives two more losses.
         async def main():
-            cluster = make_cluster(size=3, voters=5)
+            cluster = make_cluster(size=3, target_voter_count=5)
             leader = await start_six(cluster)
             spare = next(m.vm_id for m in leader.members if not m.voter)
             gone = next(
@@ -148,7 +150,7 @@
             )
             for vm_id in expected[:2]:
                 await cluster.stop(vm_id)
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             await leader.propose(b"x", timeout=5)
             await cluster.stop_all()
             self.assertEqual([], cluster.errors)
@@ -160,7 +162,7 @@
         async def main():
             cluster = make_cluster()
             await cluster.start_all()
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             vm = next(v for v in cluster.vms.values() if v.log is not leader)
             await cluster.stop(vm.vm_id)
             vm.disk.wipe()
@@ -184,12 +186,12 @@
     def test_number_of_voters_grows_to_the_target(self):
         # Three founders and three more VMs, with five voters as the target.
         async def main():
-            cluster = make_cluster(voters=5)
+            cluster = make_cluster(target_voter_count=5)
             await cluster.start_all()
-            await cluster.leader()
+            await cluster.wait_for_leader()
             for _ in range(3):
                 await cluster.start(cluster.add_vm().vm_id)
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             self.assertTrue(
                 await wait_for(lambda: len(voters(leader)) == 5, 10)
             )
@@ -206,7 +208,7 @@
         async def main():
             cluster = make_cluster()
             await cluster.start_all()
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             await leader.propose(b"kept", timeout=5)
             for vm in [v for v in cluster.vms.values() if v.log is not leader]:
                 await cluster.stop(vm.vm_id)
--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -149,7 +149,7 @@
 
         run_virtual(main())
 
-    def test_failed_sync_is_never_taken_back(self):
+    def test_failed_sync_is_final(self):
         # The next sync may report success although pages were lost.
         async def main():
             disk = FakeDisk(rng=random.Random(1))
