--- a/burdockdrum/configuration/services.py
+++ b/burdockdrum/configuration/services.py
@@ -10,7 +10,7 @@
 from burdockdrum.consensus import LogSettings
 from burdockdrum.consensus import ReplicatedLog
 from burdockdrum.kernel import Kernel
-from burdockdrum.leases import LeaseKeeper
+from burdockdrum.leases import LeaseManager
 from burdockdrum.metrics import Metrics
 from burdockdrum.peers import Peers
 from burdockdrum.ports import Clock
@@ -24,7 +24,7 @@
     if kernel.has("disk"):
         kernel.add("control_state", lambda kernel: ControlState())
         kernel.add("log", _build_log)
-        kernel.add("lease_keeper", _build_lease_keeper)
+        kernel.add("lease_keeper", _build_lease_manager)
     kernel.add("configuration", _build_configuration)
 
 
@@ -42,9 +42,9 @@
     )
 
 
-def _build_lease_keeper(kernel: Kernel) -> LeaseKeeper:
+def _build_lease_manager(kernel: Kernel) -> LeaseManager:
     log = kernel.find("log", ReplicatedLog)
-    return LeaseKeeper(
+    return LeaseManager(
         peers=kernel.find("peers", Peers),
         clock=kernel.find("clock", Clock),
         rng=kernel.find("random", random.Random),
--- a/burdockdrum/leases/__init__.py
+++ b/burdockdrum/leases/__init__.py
@@ -1,7 +1,7 @@
 """Leases with fencing numbers, replicated by the control VMs."""
 
-from burdockdrum.leases.keeper import LeaseKeeper
-from burdockdrum.leases.keeper import ProposalFailed
+from burdockdrum.leases.manager import LeaseManager
+from burdockdrum.leases.manager import ProposalFailed
 from burdockdrum.leases.service import Lease
 from burdockdrum.leases.service import LeaseNotHeld
 from burdockdrum.leases.service import LeaseService
@@ -15,21 +15,22 @@
 from burdockdrum.leases.table import LeaseTableSnapshot
 from burdockdrum.leases.table import OpenEpoch
 from burdockdrum.leases.table import ReleaseLease
-from burdockdrum.leases.timing import LEASE_SECONDS
+from burdockdrum.leases.timing import FORMER_ORDERS_DELAY_SECONDS
+from burdockdrum.leases.timing import LEASE_DURATION_SECONDS
 from burdockdrum.leases.timing import MAX_CLOCK_DRIFT
-from burdockdrum.leases.timing import ORDER_SECONDS
-from burdockdrum.leases.timing import RENEW_SECONDS
-from burdockdrum.leases.timing import SUPERSEDE_SECONDS
-from burdockdrum.leases.timing import WAIT_OUT_SECONDS
+from burdockdrum.leases.timing import ORDER_TIMEOUT_SECONDS
+from burdockdrum.leases.timing import RENEW_INTERVAL_SECONDS
+from burdockdrum.leases.timing import SUPERSEDE_DELAY_SECONDS
 
 __all__ = [
     "add_services",
+    "FORMER_ORDERS_DELAY_SECONDS",
     "Grant",
     "GrantLease",
     "Lease",
-    "LEASE_SECONDS",
+    "LEASE_DURATION_SECONDS",
     "LeaseCommand",
-    "LeaseKeeper",
+    "LeaseManager",
     "LeaseNotHeld",
     "LeaseResult",
     "LeaseService",
@@ -39,9 +40,8 @@
     "MAX_CLOCK_DRIFT",
     "ProposalFailed",
     "OpenEpoch",
-    "ORDER_SECONDS",
+    "ORDER_TIMEOUT_SECONDS",
     "ReleaseLease",
-    "RENEW_SECONDS",
-    "SUPERSEDE_SECONDS",
-    "WAIT_OUT_SECONDS",
+    "RENEW_INTERVAL_SECONDS",
+    "SUPERSEDE_DELAY_SECONDS",
 ]
--- a/burdockdrum/leases/keeper.py
+++ b/burdockdrum/leases/manager.py
@@ -23,7 +23,7 @@
 from burdockdrum.leases.table import LeaseTable
 from burdockdrum.leases.table import OpenEpoch
 from burdockdrum.leases.table import ReleaseLease
-from burdockdrum.leases.timing import SUPERSEDE_SECONDS
+from burdockdrum.leases.timing import SUPERSEDE_DELAY_SECONDS
 from burdockdrum.peers import Message
 from burdockdrum.peers import Peers
 from burdockdrum.peers import Sender
@@ -67,7 +67,7 @@
         self.may_apply = may_apply
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Grants, renews and revokes leases; runs on every control VM.
 
     It is active only while this VM leads, in an epoch that it has opened.
@@ -146,7 +146,7 @@
 
     def _remaining(self, name: str) -> float:
         renewed_at = self._renewed_at_by_name.get(name, self._opened_at)
-        return renewed_at + SUPERSEDE_SECONDS - self._clock.monotonic()
+        return renewed_at + SUPERSEDE_DELAY_SECONDS - self._clock.monotonic()
 
     async def _receive_acquire(
         self, sender: Sender, message: AcquireLeaseRequest
--- a/burdockdrum/leases/service.py
+++ b/burdockdrum/leases/service.py
@@ -13,10 +13,10 @@
 from burdockdrum.leases.messages import LeaseResponse
 from burdockdrum.leases.messages import ReleaseLeaseRequest
 from burdockdrum.leases.messages import RenewLeasesRequest
-from burdockdrum.leases.timing import LEASE_SECONDS
-from burdockdrum.leases.timing import ORDER_SECONDS
-from burdockdrum.leases.timing import RENEW_SECONDS
-from burdockdrum.leases.timing import WAIT_OUT_SECONDS
+from burdockdrum.leases.timing import FORMER_ORDERS_DELAY_SECONDS
+from burdockdrum.leases.timing import LEASE_DURATION_SECONDS
+from burdockdrum.leases.timing import ORDER_TIMEOUT_SECONDS
+from burdockdrum.leases.timing import RENEW_INTERVAL_SECONDS
 from burdockdrum.peers import CallFailed
 from burdockdrum.peers import Message
 from burdockdrum.peers import Peers
@@ -25,7 +25,7 @@
 
 CALL_TIMEOUT_SECONDS = 1.0
 RETRY_DELAY_SECONDS = 0.3
-MAX_ATTEMPT_AGE_SECONDS = LEASE_SECONDS / 2
+MAX_ATTEMPT_AGE_SECONDS = LEASE_DURATION_SECONDS / 2
 
 
 class LeaseUnavailable(Exception):
@@ -165,13 +165,13 @@
             lease = self.held(name)
         if lease is None:
             raise LeaseNotHeld(name)
-        async with asyncio.timeout(ORDER_SECONDS):
+        async with asyncio.timeout(ORDER_TIMEOUT_SECONDS):
             yield lease
 
     async def run(self) -> None:
         """Renew the held leases until cancelled."""
         while True:
-            await self._clock.sleep(RENEW_SECONDS)
+            await self._clock.sleep(RENEW_INTERVAL_SECONDS)
             self._drop_expired()
             if self._leases_by_name:
                 await self._renew()
@@ -186,9 +186,9 @@
             fencing=response.grant.fencing,
             # Counts from before the first request, so that it expires here
             # before it does on the leader.
-            expires_at=started + LEASE_SECONDS,
+            expires_at=started + LEASE_DURATION_SECONDS,
             former_orders_end_at=(
-                now if response.first else now + WAIT_OUT_SECONDS
+                now if response.first else now + FORMER_ORDERS_DELAY_SECONDS
             ),
         )
         if now >= lease.expires_at:
@@ -224,7 +224,7 @@
                 self._drop(name)
             else:
                 self._leases_by_name[name] = replace(
-                    lease, expires_at=started + LEASE_SECONDS
+                    lease, expires_at=started + LEASE_DURATION_SECONDS
                 )
 
     def _drop_expired(self) -> None:
--- a/burdockdrum/leases/timing.py
+++ b/burdockdrum/leases/timing.py
@@ -6,25 +6,25 @@
 
 # Validity of a lease at its holder, from before it sent the request that was
 # granted.
-LEASE_SECONDS = 10.0
+LEASE_DURATION_SECONDS = 10.0
 
 # Renewal interval of a holder; two lost renewals in a row do no harm.
-RENEW_SECONDS = 3.0
+RENEW_INTERVAL_SECONDS = 3.0
 
 # Maximum rate error of a clock, as a fraction.
 MAX_CLOCK_DRIFT = 0.01
 
 # Timeout of an order, from the check of the lease until no endpoint can act on
 # the order any more.
-ORDER_SECONDS = 5.0
+ORDER_TIMEOUT_SECONDS = 5.0
 
 _MAX_CLOCK_RATE_RATIO = (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT)
 
 # Time without a renewal after which the leader may grant a lease to another
 # VM. A holder with the slowest clock has stopped using it by then, even if the
 # leader has the fastest one.
-SUPERSEDE_SECONDS = LEASE_SECONDS * _MAX_CLOCK_RATE_RATIO
+SUPERSEDE_DELAY_SECONDS = LEASE_DURATION_SECONDS * _MAX_CLOCK_RATE_RATIO
 
 # Delay before a new holder sends orders to endpoints that don't check fencing
 # numbers; the orders of the former holder have ended by then.
-WAIT_OUT_SECONDS = ORDER_SECONDS * _MAX_CLOCK_RATE_RATIO
+FORMER_ORDERS_DELAY_SECONDS = ORDER_TIMEOUT_SECONDS * _MAX_CLOCK_RATE_RATIO
--- a/scripts/bench/configuration.py
+++ b/scripts/bench/configuration.py
@@ -25,7 +25,7 @@
 
 from burdockdrum.configuration import propose_lease
 from burdockdrum.leases import OpenEpoch
-from burdockdrum.leases import RENEW_SECONDS
+from burdockdrum.leases import RENEW_INTERVAL_SECONDS
 from burdockdrum.resources import Configuration
 from burdockdrum.resources import hash_token
 from burdockdrum.resources import parse_spec
@@ -95,7 +95,7 @@
 
 async def renew_in_log(plane: Plane) -> None:
     """Propose as many entries as renewals in the log would take."""
-    count = int(IDLE_SECONDS / RENEW_SECONDS * len(plane.relay_ids))
+    count = int(IDLE_SECONDS / RENEW_INTERVAL_SECONDS * len(plane.relay_ids))
     log = plane.leader.log
     assert log is not None
     opener = plane.leader.state.leases.opener
--- a/scripts/bench/control_plane.py
+++ b/scripts/bench/control_plane.py
@@ -10,7 +10,7 @@
 from burdockdrum.configuration import propose_lease
 from burdockdrum.consensus import LogSettings
 from burdockdrum.consensus import ReplicatedLog
-from burdockdrum.leases import LeaseKeeper
+from burdockdrum.leases import LeaseManager
 from burdockdrum.leases import LeaseService
 from burdockdrum.metrics import Metrics
 from burdockdrum.peers import Peers
@@ -87,7 +87,7 @@
                     bootstrap_addresses_by_id=self._members,
                 ),
             )
-            keeper = LeaseKeeper(
+            manager = LeaseManager(
                 peers=peers,
                 clock=clock,
                 rng=rng,
@@ -95,7 +95,7 @@
                 leadership=self.log,
                 propose=functools.partial(propose_lease, self.log),
             )
-            services += [self.log, keeper]
+            services += [self.log, manager]
         self.configuration = ConfigurationService(
             peers=peers,
             clock=clock,
--- a/tests/leases/test_histories.py
+++ b/tests/leases/test_histories.py
@@ -6,10 +6,10 @@
 import unittest
 from unittest import mock
 
-from burdockdrum.leases import keeper
 from burdockdrum.leases import LeaseNotHeld
 from burdockdrum.leases import LeaseUnavailable
-from burdockdrum.leases import ORDER_SECONDS
+from burdockdrum.leases import manager
+from burdockdrum.leases import ORDER_TIMEOUT_SECONDS
 from burdockdrum.testing import run_virtual
 from tests.configuration.deployment import Deployment
 
@@ -71,7 +71,7 @@
                     f"orders under {self._orders_in_flight}"
                 )
             try:
-                seconds = self.rng.uniform(0, ORDER_SECONDS * 1.2)
+                seconds = self.rng.uniform(0, ORDER_TIMEOUT_SECONDS * 1.2)
                 await asyncio.sleep(seconds)
                 self.orders += 1
             finally:
@@ -145,7 +145,7 @@
         for seed in SEEDS_WITH_OVERLAP:
             with (
                 self.subTest(seed=seed),
-                mock.patch.object(keeper, "SUPERSEDE_SECONDS", 5.0),
+                mock.patch.object(manager, "SUPERSEDE_DELAY_SECONDS", 5.0),
             ):
                 history = run_virtual(make_history(seed))
                 self.assertNotEqual([], history.violations)
--- a/tests/leases/test_service.py
+++ b/tests/leases/test_service.py
@@ -3,11 +3,11 @@
 import asyncio
 import unittest
 
-from burdockdrum.leases import LEASE_SECONDS
+from burdockdrum.leases import LEASE_DURATION_SECONDS
 from burdockdrum.leases import LeaseNotHeld
 from burdockdrum.leases import LeaseUnavailable
-from burdockdrum.leases import ORDER_SECONDS
-from burdockdrum.leases import SUPERSEDE_SECONDS
+from burdockdrum.leases import ORDER_TIMEOUT_SECONDS
+from burdockdrum.leases import SUPERSEDE_DELAY_SECONDS
 from burdockdrum.testing import run_virtual
 from tests.configuration.deployment import Deployment
 
@@ -71,7 +71,9 @@
             started = self.now()
             again = await deployment.leases("e1.2").acquire(NAME, timeout=20)
             self.assertGreater(again.fencing, lease.fencing)
-            self.assertGreater(self.now() - started, LEASE_SECONDS - 1)
+            self.assertGreater(
+                self.now() - started, LEASE_DURATION_SECONDS - 1
+            )
 
         self.run_deployment(scenario)
 
@@ -85,7 +87,7 @@
             while first.held(NAME).expires_at - self.now() > 0.05:
                 await asyncio.sleep(0.01)
             async with first.order(NAME, checks_fencing=False):
-                ends_at = self.now() + ORDER_SECONDS
+                ends_at = self.now() + ORDER_TIMEOUT_SECONDS
                 await second.acquire(NAME, timeout=5)
                 self.assertLess(self.now(), ends_at)
                 async with second.order(NAME, checks_fencing=True):
@@ -105,7 +107,9 @@
             with self.assertRaises(TimeoutError):
                 async with first.order(NAME, checks_fencing=True):
                     await asyncio.sleep(60)
-            self.assertAlmostEqual(ORDER_SECONDS, self.now() - started, 3)
+            self.assertAlmostEqual(
+                ORDER_TIMEOUT_SECONDS, self.now() - started, 3
+            )
 
         self.run_deployment(scenario)
 
@@ -125,6 +129,6 @@
             self.assertGreater(granted.fencing, lease.fencing)
             self.assertIsNone(first.held(NAME))
             self.assertGreater(self.now(), lease.expires_at)
-            self.assertGreater(SUPERSEDE_SECONDS, LEASE_SECONDS)
+            self.assertGreater(SUPERSEDE_DELAY_SECONDS, LEASE_DURATION_SECONDS)
 
         self.run_deployment(scenario)
--- a/tests/orders/bed.py
+++ b/tests/orders/bed.py
@@ -12,14 +12,14 @@
 from burdockdrum.endpoints import Announcement
 from burdockdrum.endpoints import EndpointRegistry
 from burdockdrum.endpoints import Report
+from burdockdrum.leases import FORMER_ORDERS_DELAY_SECONDS
 from burdockdrum.leases import Lease
-from burdockdrum.leases import LEASE_SECONDS
+from burdockdrum.leases import LEASE_DURATION_SECONDS
 from burdockdrum.leases import LeaseNotHeld
 from burdockdrum.leases import LeaseUnavailable
-from burdockdrum.leases import ORDER_SECONDS
-from burdockdrum.leases import RENEW_SECONDS
-from burdockdrum.leases import SUPERSEDE_SECONDS
-from burdockdrum.leases import WAIT_OUT_SECONDS
+from burdockdrum.leases import ORDER_TIMEOUT_SECONDS
+from burdockdrum.leases import RENEW_INTERVAL_SECONDS
+from burdockdrum.leases import SUPERSEDE_DELAY_SECONDS
 from burdockdrum.orders import HttpOrderSender
 from burdockdrum.orders import Reconciler
 from burdockdrum.orders import WeightLoadLimiter
@@ -44,7 +44,7 @@
 
     def request_grant(self, holder: object, now: float) -> int | None:
         if self.holder not in (None, holder):
-            if now - self.granted_at < SUPERSEDE_SECONDS:
+            if now - self.granted_at < SUPERSEDE_DELAY_SECONDS:
                 return None
             self.holder = None
         if self.holder is None:
@@ -76,7 +76,7 @@
 
     async def run(self) -> None:
         while True:
-            await self._clock.sleep(RENEW_SECONDS)
+            await self._clock.sleep(RENEW_INTERVAL_SECONDS)
             now = self._clock.monotonic()
             is_held = self._lease and now < self._lease.expires_at
             if is_held and not self.cut and self._table.holder is self:
@@ -90,8 +90,10 @@
         self._lease = Lease(
             name=name,
             fencing=self._table.fencing,
-            expires_at=now + LEASE_SECONDS,
-            former_orders_end_at=now if first else now + WAIT_OUT_SECONDS,
+            expires_at=now + LEASE_DURATION_SECONDS,
+            former_orders_end_at=(
+                now if first else now + FORMER_ORDERS_DELAY_SECONDS
+            ),
         )
         return self._lease
 
@@ -110,13 +112,15 @@
             lease = self.held(name)
         if lease is None:
             raise LeaseNotHeld(name)
-        async with asyncio.timeout(ORDER_SECONDS):
+        async with asyncio.timeout(ORDER_TIMEOUT_SECONDS):
             yield lease
 
     def _renew(self, now: float) -> None:
         assert self._lease is not None
         self._table.granted_at = now
-        self._lease = replace(self._lease, expires_at=now + LEASE_SECONDS)
+        self._lease = replace(
+            self._lease, expires_at=now + LEASE_DURATION_SECONDS
+        )
 
 
 class Engine:
--- a/tests/orders/test_reconciler.py
+++ b/tests/orders/test_reconciler.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from burdockdrum.leases import ORDER_SECONDS
+from burdockdrum.leases import ORDER_TIMEOUT_SECONDS
 from burdockdrum.resources import ServiceSpec
 from burdockdrum.testing import run_virtual
 from tests.orders.bed import OrdersHarness
@@ -151,7 +151,7 @@
             first_new = min(
                 at for at, number in accepted_orders if number == 2
             )
-            self.assertGreater(first_new, last_old + ORDER_SECONDS)
+            self.assertGreater(first_new, last_old + ORDER_TIMEOUT_SECONDS)
             harness.stop()
 
         run_virtual(main())
