--- a/burdockdrum/configuration/control.py
+++ b/burdockdrum/configuration/control.py
@@ -49,7 +49,7 @@
     return applied.result
 
 
-async def propose_lease(
+async def propose_lease_command(
     log: ReplicatedLog, command: LeaseCommand, timeout: float
 ) -> LeaseResult:
     """Commit a lease command and return its result.
@@ -105,7 +105,7 @@
             leader_id=self._log.leader_id,
         )
 
-    async def read_agreed(self, timeout: float) -> Configuration:
+    async def read_committed(self, timeout: float) -> Configuration:
         """Return a configuration with all changes acknowledged so far.
 
         :param timeout: seconds to wait
--- a/burdockdrum/configuration/history.py
+++ b/burdockdrum/configuration/history.py
@@ -9,7 +9,7 @@
 from burdockdrum.resources import Revised
 
 # Covers two and a half hours at 9,500 changes a day.
-KEPT_REVISIONS = 1000
+MAX_KEPT_REVISIONS = 1000
 
 
 class RevisionGone(Exception):
@@ -37,7 +37,7 @@
         """Create a history at revision 0."""
         self.current = Configuration()
         self.listeners: list[Callable[[Configuration], None]] = []
-        self._changes = collections.deque[Revised](maxlen=KEPT_REVISIONS)
+        self._changes = collections.deque[Revised](maxlen=MAX_KEPT_REVISIONS)
         self._revision_added = asyncio.Event()
 
     @property
--- a/burdockdrum/configuration/residency.py
+++ b/burdockdrum/configuration/residency.py
@@ -25,7 +25,7 @@
     :raises Refusal: "not run", if the client or the service is unknown or
         this VM is not synchronized
     """
-    check_known(local)
+    check_synced(local)
     configuration = local.current
     client = configuration.clients_by_id.get(client_id)
     if client is None:
@@ -48,7 +48,7 @@
     return regions
 
 
-def check_known(local: LocalConfiguration) -> None:
+def check_synced(local: LocalConfiguration) -> None:
     """Check that this VM is synchronized since its start.
 
     :raises Refusal: "not run", if it has not
--- a/burdockdrum/configuration/service.py
+++ b/burdockdrum/configuration/service.py
@@ -21,7 +21,7 @@
 from burdockdrum.configuration.reports import merge_reports
 from burdockdrum.configuration.reports import Reports
 from burdockdrum.configuration.residency import allowed_regions
-from burdockdrum.configuration.residency import check_known
+from burdockdrum.configuration.residency import check_synced
 from burdockdrum.consensus import NotCurrent
 from burdockdrum.consensus import ReplicatedLog
 from burdockdrum.peers import CallFailed
@@ -46,7 +46,7 @@
 _APPLY_POLL_INTERVAL_SECONDS = 0.02
 
 
-class ChangeUnknown(Exception):
+class ChangeOutcomeUnknown(Exception):
     """The outcome of the change is unknown; it is safe to send it again."""
 
 
@@ -139,23 +139,23 @@
         return self._local.current
 
     @property
-    def known(self) -> bool:
+    def is_synced(self) -> bool:
         """Return whether this VM is synchronized since its start.
 
         Its revision is then not older than any that it served before.
         """
         return self._local.is_synced
 
-    async def wait_until_known(self, seconds: float) -> bool:
+    async def wait_until_synced(self, seconds: float) -> bool:
         """Wait until this VM is synchronized.
 
         :param seconds: maximum time to wait
         :returns: whether it is
         """
         until = self._clock.monotonic() + seconds
-        while not self.known and self._clock.monotonic() < until:
+        while not self.is_synced and self._clock.monotonic() < until:
             await self._clock.sleep(SYNC_POLL_INTERVAL_SECONDS)
-        return self.known
+        return self.is_synced
 
     @property
     def age(self) -> float | None:
@@ -170,12 +170,12 @@
         """Return the last known addresses of the control VMs by id."""
         return self._local.control_addresses
 
-    def check_known(self) -> None:
+    def check_synced(self) -> None:
         """Check that this VM is synchronized.
 
         :raises Refusal: CONFIGURATION_STALE, "not run", if it is not
         """
-        check_known(self._local)
+        check_synced(self._local)
 
     def allowed_regions(self, client_id: str, service: str) -> frozenset[str]:
         """Return the regions in which a request may be processed now.
@@ -197,7 +197,7 @@
         """Return the state of this VM for operators."""
         age = self.age
         return ConfigurationStatus(
-            known=self.known,
+            known=self.is_synced,
             revision=self.current.revision,
             digest=self.current.digest,
             age_seconds=None if age is None else round(age, 3),
@@ -223,7 +223,7 @@
         """
         return self._local.history.changes_after(revision)
 
-    def note_revision(self, address: str, revision: int) -> None:
+    def handle_peer_revision(self, address: str, revision: int) -> None:
         """Request changes from a VM whose revision is newer.
 
         This covers a source that hangs or cannot be reached.
@@ -234,8 +234,8 @@
     async def change(self, change: Change) -> ChangeResult:
         """Commit a change and wait briefly until it is in force here.
 
-        :raises ChangeUnknown: if it may have been accepted; it may be sent
-            again with the same change id
+        :raises ChangeOutcomeUnknown: if it may have been accepted; it may be
+            sent again with the same change id
         :raises ChangeNotAccepted: if it was not accepted and will not be
         """
         result = await self._propose(change)
@@ -247,7 +247,7 @@
             await self._clock.sleep(_APPLY_POLL_INTERVAL_SECONDS)
         return result
 
-    async def read_agreed(self, timeout: float) -> Configuration:
+    async def read_committed(self, timeout: float) -> Configuration:
         """Return a configuration with all changes acknowledged so far.
 
         :param timeout: seconds to wait
@@ -255,7 +255,7 @@
         """
         if self._control is None:
             raise NotCurrent("this VM is not a control VM")
-        return await self._control.read_agreed(timeout)
+        return await self._control.read_committed(timeout)
 
     async def fetch_in_force(self) -> dict[str, int]:
         """Return the revisions in force by VM id, of all data centres.
@@ -307,7 +307,7 @@
                 break
             await self._clock.sleep(RETRY_DELAY_SECONDS)
         if may_apply:
-            raise ChangeUnknown(reason)
+            raise ChangeOutcomeUnknown(reason)
         raise ChangeNotAccepted(reason)
 
     def _proposal_addresses(self) -> list[str | None]:
--- a/burdockdrum/configuration/services.py
+++ b/burdockdrum/configuration/services.py
@@ -3,7 +3,7 @@
 import functools
 import random
 
-from burdockdrum.configuration.control import propose_lease
+from burdockdrum.configuration.control import propose_lease_command
 from burdockdrum.configuration.control_state import ControlState
 from burdockdrum.configuration.reports import Directory
 from burdockdrum.configuration.service import ConfigurationService
@@ -50,7 +50,7 @@
         rng=kernel.find("random", random.Random),
         table=kernel.find("control_state", ControlState).leases,
         leadership=log,
-        propose=functools.partial(propose_lease, log),
+        propose=functools.partial(propose_lease_command, log),
     )
 
 
--- a/burdockdrum/passthrough/active_routes.py
+++ b/burdockdrum/passthrough/active_routes.py
@@ -23,7 +23,7 @@
     @property
     def index(self) -> RouteIndex | None:
         """Return the active routes, None while they are unknown."""
-        return self._index if self._configuration.known else None
+        return self._index if self._configuration.is_synced else None
 
     def home_regions_of(self, host: str) -> frozenset[str]:
         """Return the regions that any route of a host is restricted to."""
--- a/burdockdrum/passthrough/relay.py
+++ b/burdockdrum/passthrough/relay.py
@@ -157,7 +157,7 @@
         if not self._mechanisms.routes_awaited:
             return
         seconds = self._reader.max_hold_seconds(exchange.request)
-        await self._configuration.wait_until_known(seconds)
+        await self._configuration.wait_until_synced(seconds)
 
     async def _run(
         self,
--- a/burdockdrum/registrations/services.py
+++ b/burdockdrum/registrations/services.py
@@ -59,7 +59,7 @@
         clock=kernel.find("clock", Clock),
         rng=kernel.find("random", random.Random),
         control_addresses=lambda: configuration.control_addresses,
-        on_revision=configuration.note_revision,
+        on_revision=configuration.handle_peer_revision,
     )
 
 
--- a/burdockdrum/requests/service.py
+++ b/burdockdrum/requests/service.py
@@ -188,7 +188,7 @@
         """
         remaining = request.deadline - self._services.clock.monotonic()
         seconds = min(CONFIGURATION_WAIT_SECONDS, remaining)
-        await self._services.configuration.wait_until_known(seconds)
+        await self._services.configuration.wait_until_synced(seconds)
 
     def _check_hops(self, request: InboundRequest) -> None:
         hops = request.hops
--- a/burdockdrum/web/authentication.py
+++ b/burdockdrum/web/authentication.py
@@ -11,7 +11,7 @@
 from burdockdrum.verdicts import Verdict
 from burdockdrum.web.reading import header
 
-KNOWN_WAIT_SECONDS = 3.0
+SYNC_TIMEOUT_SECONDS = 3.0
 _PREFIX = "bearer "
 
 
@@ -42,7 +42,9 @@
         """
         # A request without a token is refused without a wait.
         self._read_token(request)
-        if not await self._configuration.wait_until_known(KNOWN_WAIT_SECONDS):
+        if not await self._configuration.wait_until_synced(
+            SYNC_TIMEOUT_SECONDS
+        ):
             raise Refusal(
                 code=RefusalCode.CONFIGURATION_STALE,
                 message="this VM does not know its configuration yet",
--- a/burdockdrum/web/operators.py
+++ b/burdockdrum/web/operators.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from burdockdrum.configuration import ChangeNotAccepted
-from burdockdrum.configuration import ChangeUnknown
+from burdockdrum.configuration import ChangeOutcomeUnknown
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.configuration import RevisionGone
 from burdockdrum.endpoints import EndpointRegistry
@@ -259,7 +259,7 @@
     async def _change(self, change: Change) -> Response:
         try:
             result = await self._configuration.change(change)
-        except ChangeUnknown as error:
+        except ChangeOutcomeUnknown as error:
             raise Refusal(
                 code=RefusalCode.CONFIGURATION_STALE,
                 message=f"{error}; send it again with the same change_id",
--- a/scripts/bench/configuration.py
+++ b/scripts/bench/configuration.py
@@ -23,7 +23,7 @@
 from docopt import docopt
 from loguru import logger
 
-from burdockdrum.configuration import propose_lease
+from burdockdrum.configuration import propose_lease_command
 from burdockdrum.leases import OpenEpoch
 from burdockdrum.leases import RENEW_INTERVAL_SECONDS
 from burdockdrum.resources import Configuration
@@ -52,7 +52,7 @@
     async with asyncio.TaskGroup() as group:
         for vm in plane.vms:
             await vm.start(group)
-        while not all(vm.configuration.known for vm in plane.vms):
+        while not all(vm.configuration.is_synced for vm in plane.vms):
             await asyncio.sleep(0.1)
         await asyncio.sleep(5)
         before = dict(plane.network.bytes_by_host)
@@ -76,7 +76,7 @@
     async with asyncio.TaskGroup() as group:
         for vm in plane.vms:
             await vm.start(group)
-        while not all(vm.configuration.known for vm in plane.vms):
+        while not all(vm.configuration.is_synced for vm in plane.vms):
             await asyncio.sleep(0.1)
         await asyncio.sleep(5)
         await print_lease_cost(plane, "none held", asyncio.sleep(0))
@@ -104,7 +104,7 @@
             # Opening the open epoch again changes nothing, as would a
             # renewal.
             command = OpenEpoch(opener=opener)
-            group.create_task(propose_lease(log, command, 2.0))
+            group.create_task(propose_lease_command(log, command, 2.0))
             await asyncio.sleep(IDLE_SECONDS / count)
 
 
--- a/scripts/bench/control_plane.py
+++ b/scripts/bench/control_plane.py
@@ -7,7 +7,7 @@
 
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.configuration import ControlState
-from burdockdrum.configuration import propose_lease
+from burdockdrum.configuration import propose_lease_command
 from burdockdrum.consensus import LogSettings
 from burdockdrum.consensus import ReplicatedLog
 from burdockdrum.leases import LeaseManager
@@ -93,7 +93,7 @@
                 rng=rng,
                 table=state.leases,
                 leadership=self.log,
-                propose=functools.partial(propose_lease, self.log),
+                propose=functools.partial(propose_lease_command, self.log),
             )
             services += [self.log, manager]
         self.configuration = ConfigurationService(
--- a/scripts/bench/failover.py
+++ b/scripts/bench/failover.py
@@ -17,7 +17,7 @@
 from loguru import logger
 
 from burdockdrum.configuration import ChangeNotAccepted
-from burdockdrum.configuration import ChangeUnknown
+from burdockdrum.configuration import ChangeOutcomeUnknown
 from burdockdrum.testing import run_virtual
 from tests.configuration.deployment import Deployment
 
@@ -41,7 +41,7 @@
     seconds = []
     for number in range(crashes):
         await asyncio.sleep(REST_SECONDS + number * 0.07)
-        leader = deployment.leader()
+        leader = deployment.leader_id()
         assert leader is not None
         await deployment.crash(leader, power=True)
         entry = next(v for v in VM_IDS if v[0] != leader[0] and v[-1] == "2")
@@ -62,7 +62,7 @@
             await deployment.put(
                 vm_id, "region", f"r{number}", {}, change_id=f"c{number}"
             )
-        except (ChangeUnknown, ChangeNotAccepted):
+        except (ChangeOutcomeUnknown, ChangeNotAccepted):
             continue
         return
 
--- a/tests/callers/fakes.py
+++ b/tests/callers/fakes.py
@@ -38,7 +38,7 @@
         )
         self.current = Configuration.of(generation, [resource])
 
-    async def wait_until_known(self, seconds):
+    async def wait_until_synced(self, seconds):
         """Return at once."""
         return True
 
--- a/tests/configuration/deployment.py
+++ b/tests/configuration/deployment.py
@@ -65,7 +65,7 @@
         """Start all VMs and wait until they are synchronized."""
         for vm_id in self.vm_ids:
             await self.start_vm(vm_id)
-        while not all(self.configuration(v).known for v in self.vm_ids):
+        while not all(self.configuration(v).is_synced for v in self.vm_ids):
             await asyncio.sleep(0.1)
 
     async def start_vm(self, vm_id: str) -> None:
@@ -94,7 +94,7 @@
         if failed:
             raise failed[0]
 
-    def cut(self, vm_ids: list[str]) -> None:
+    def partition(self, vm_ids: list[str]) -> None:
         """Partition some VMs from all others; messages are dropped."""
         self.cluster.network.cut(vm_ids, self._others(vm_ids))
 
@@ -123,13 +123,13 @@
         """Return the URL at which a VM serves."""
         return f"http://127.0.0.1:{self._ports[vm_id] + 10_000}"
 
-    def relay(self, vm_id: str) -> str:
+    def relay_id(self, vm_id: str) -> str:
         """Return the id of the relay of a VM's data centre, as it sees it."""
         directory = self._find(vm_id, "vms", VmDirectory)
         relay = directory.relay_of(data_centre_of(vm_id))
         return relay.identity.vm_id
 
-    def leader(self) -> str | None:
+    def leader_id(self) -> str | None:
         """Return the id of the control VM that leads, if any."""
         for vm_id in self._control_ids:
             if vm_id in self.cluster.vms_by_id and self.log(vm_id).is_leader:
--- a/tests/configuration/test_agreed.py
+++ b/tests/configuration/test_agreed.py
@@ -60,7 +60,7 @@
                 {"description": "second"},
                 version=first.revision,
             )
-            leader = deployment.leader()
+            leader = deployment.leader_id()
             await deployment.crash(leader, power=True)
             again = await deployment.put("s1.2", *change, change_id="x")
             self.assertEqual(first, again)
@@ -79,7 +79,7 @@
 
         self.run_deployment(scenario)
 
-    def test_many_changes_then_all_restart(self):
+    def test_restart_of_all_vms_after_snapshots(self):
         # All VMs lose power after snapshots have replaced the start of the
         # log. They must restore the last state, including the results of
         # changes from before the snapshot.
@@ -87,7 +87,7 @@
             first = await deployment.put(
                 "n1.1", "region", "north", {}, change_id="first"
             )
-            entry = deployment.leader()
+            entry = deployment.leader_id()
             for batch in range(22):
                 changes = [
                     deployment.put(entry, "region", f"r{batch}-{number}", {})
@@ -113,7 +113,7 @@
 
         self.run_deployment(scenario)
 
-    def test_status_names_who_has_a_revision_in_force(self):
+    def test_status_has_the_revisions_of_all_vms(self):
         # A VM without replicated state, in another region, reports all VMs,
         # including a partitioned one with its old revision.
         async def scenario(deployment):
@@ -121,7 +121,7 @@
             await asyncio.sleep(3)
             found = await deployment.configuration("e1.2").fetch_in_force()
             self.assertEqual(dict.fromkeys(VM_IDS, 1), found)
-            deployment.cut(["s1.2"])
+            deployment.partition(["s1.2"])
             await deployment.put("n1.2", "region", "south", {})
             await asyncio.sleep(1)
             found = await deployment.configuration("e1.2").fetch_in_force()
@@ -134,7 +134,7 @@
         # it, even after a restart with the old settings. Changes and leases
         # must work without it.
         async def scenario(deployment):
-            leader = deployment.leader()
+            leader = deployment.leader_id()
             removed = next(v for v in CONTROL_IDS if v != leader)
             rest = set(CONTROL_IDS) - {removed}
             await deployment.log(leader).remove_member(removed)
--- a/tests/configuration/test_cut_off.py
+++ b/tests/configuration/test_cut_off.py
@@ -65,22 +65,22 @@
         self.assertIs(RefusalCode.CONFIGURATION_STALE, caught.exception.code)
         self.assertIs(Verdict.NOT_RUN, caught.exception.verdict)
 
-    def test_control_vm_cut_off_for_long(self):
+    def test_partitioned_leader_steps_down_and_catches_up(self):
         # A partitioned leader steps down within its lease and keeps serving
         # with a growing age. After the partition heals it catches up without
         # causing an election.
         async def scenario(deployment):
-            leader = deployment.leader()
+            leader = deployment.leader_id()
             cut = [v for v in VM_IDS if v[0] == leader[0]]
             entry = next(v for v in CONTROL_IDS if v not in cut)
-            deployment.cut(cut)
+            deployment.partition(cut)
             await asyncio.sleep(2)
             self.assertFalse(deployment.log(leader).is_leader)
             await asyncio.sleep(60)
             for vm_id in cut:
                 age = deployment.configuration(vm_id).age
                 self.assertAlmostEqual(62, age, delta=5)
-                self.assertTrue(deployment.configuration(vm_id).known)
+                self.assertTrue(deployment.configuration(vm_id).is_synced)
             missed = await deployment.put(entry, "region", "w", {})
             term = deployment.log(entry).term
             deployment.heal(cut)
@@ -93,12 +93,12 @@
 
         self.run_deployment(scenario)
 
-    def test_tightened_residency_while_cut_off(self):
+    def test_tightened_residency_during_a_partition(self):
         # A partitioned region can't learn that a residency was tightened.
         # Once the residency lease has expired it must process data only of
         # its own clients, in their home region.
         async def scenario(deployment):
-            deployment.cut(SOUTH)
+            deployment.partition(SOUTH)
             current = deployment.configuration("n1.1").current
             version = current.resources_by_key["client", "north"].version
             made = await self.put_client(
@@ -127,10 +127,10 @@
         # responds has an older revision than the VM has served before, so it
         # must wait for the other neighbour.
         async def scenario(deployment):
-            deployment.cut(["s1.1"])
+            deployment.partition(["s1.1"])
             result = await deployment.put("n1.1", "region", "w", {})
             await deployment.wait_for(result.revision, "s1.2", "s1.3")
-            deployment.cut(["s1.2", "s1.3"])
+            deployment.partition(["s1.2", "s1.3"])
             network = deployment.cluster.network
             network.set_link("s1.1", "s1.3", cut=False)
             network.set_link("s1.2", "s1.3", cut=False, delay=0.4)
@@ -139,7 +139,7 @@
             revisions = []
             for _ in range(300):
                 await asyncio.sleep(0.05)
-                if service.known:
+                if service.is_synced:
                     revisions.append(service.current.revision)
             self.assertEqual({result.revision}, set(revisions))
             self.assertIn("s", self.allowed(deployment, "s1.3", "south"))
@@ -150,7 +150,7 @@
         # A restarted VM that reaches no other VM can't know the residency of
         # clients. It must refuse requests until the partition heals.
         async def scenario(deployment):
-            deployment.cut(["s1.3"])
+            deployment.partition(["s1.3"])
             await deployment.restart("s1.3")
             for _ in range(20):
                 await asyncio.sleep(3)
@@ -170,7 +170,7 @@
         async def scenario(deployment):
             old = deployment.configuration("s1.3").current
             requested_at = asyncio.get_running_loop().time() + 1000
-            deployment.cut(["s1.3"])
+            deployment.partition(["s1.3"])
             await deployment.restart("s1.3")
             await asyncio.sleep(1)
             late = Update(
@@ -186,9 +186,9 @@
             network.set_link("s1.2", "s1.3", both=False, cut=False)
             deployment.send("s1.2", "s1.3", late)
             await asyncio.sleep(0.1)
-            deployment.cut(["s1.3"])
+            deployment.partition(["s1.3"])
             self.assertEqual(old.revision, service.current.revision)
-            self.assertFalse(service.known)
+            self.assertFalse(service.is_synced)
             await asyncio.sleep(10)
             self.assert_refuses(deployment, "s1.3")
 
@@ -199,7 +199,7 @@
         # which revision was in force: the log on disk doesn't say how far it
         # is committed. All must refuse requests until the partition heals.
         async def scenario(deployment):
-            deployment.cut(SOUTH)
+            deployment.partition(SOUTH)
             for vm_id in SOUTH:
                 await deployment.crash(vm_id, power=True)
             for vm_id in SOUTH:
@@ -211,6 +211,6 @@
             deployment.heal(SOUTH)
             await asyncio.sleep(5)
             for vm_id in SOUTH:
-                self.assertTrue(deployment.configuration(vm_id).known)
+                self.assertTrue(deployment.configuration(vm_id).is_synced)
 
         self.run_deployment(scenario)
--- a/tests/configuration/test_histories.py
+++ b/tests/configuration/test_histories.py
@@ -12,7 +12,7 @@
 import unittest
 
 from burdockdrum.configuration import ChangeNotAccepted
-from burdockdrum.configuration import ChangeUnknown
+from burdockdrum.configuration import ChangeOutcomeUnknown
 from burdockdrum.testing import run_virtual
 from tests.configuration.deployment import Deployment
 
@@ -84,7 +84,7 @@
                     self.not_accepted.add(change_id)
                     return None
                 continue
-            except (ChangeUnknown, TimeoutError):
+            except (ChangeOutcomeUnknown, TimeoutError):
                 in_doubt = True
                 continue
             if result.code == "accepted":
@@ -115,7 +115,7 @@
             if self.rng.random() < 0.2:
                 victims = VM_IDS
             if self.rng.random() < 0.5 and victims != VM_IDS:
-                self.deployment.cut(victims)
+                self.deployment.partition(victims)
                 await asyncio.sleep(self.rng.uniform(0.2, 5))
                 self.deployment.heal(victims)
                 continue
--- a/tests/configuration/test_passing_on.py
+++ b/tests/configuration/test_passing_on.py
@@ -94,7 +94,7 @@
         # If the relay crashes, its followers must get a change elsewhere in
         # time.
         async def scenario(deployment):
-            self.assertEqual("s1.1", deployment.relay("s1.3"))
+            self.assertEqual("s1.1", deployment.relay_id("s1.3"))
             await deployment.crash("s1.1")
             result = await deployment.put("n1.1", "region", "north", {})
             rest = [vm_id for vm_id in VM_IDS if vm_id != "s1.1"]
@@ -143,7 +143,7 @@
     def test_vm_that_missed_too_many_changes_gets_a_snapshot(self):
         # A VM that missed more changes than are kept must get a snapshot.
         async def scenario(deployment):
-            deployment.cut(["s1.4"])
+            deployment.partition(["s1.4"])
             for batch in range(22):
                 changes = [
                     deployment.put("n1.1", "region", f"r{batch}-{i}", {})
--- a/tests/configuration/test_restart_together.py
+++ b/tests/configuration/test_restart_together.py
@@ -49,7 +49,7 @@
                 waiting = {
                     vm_id
                     for vm_id in waiting
-                    if not deployment.configuration(vm_id).known
+                    if not deployment.configuration(vm_id).is_synced
                 }
             seconds = loop.time() - began
             await deployment.stop()
--- a/tests/daemon/test_hand_over.py
+++ b/tests/daemon/test_hand_over.py
@@ -23,14 +23,14 @@
                 seed=3, vm_ids=CONTROL_IDS, control_ids=CONTROL_IDS
             )
             await deployment.start()
-            leader = deployment.leader()
+            leader = deployment.leader_id()
             vm = deployment.cluster.vms_by_id[leader]
             drain = vm.kernel.find("drain", Drain)
             drain.begin()
             await drain.done.wait()
             await deployment.crash(leader)
             await asyncio.sleep(SOON_SECONDS)
-            self.assertNotIn(deployment.leader(), (None, leader))
+            self.assertNotIn(deployment.leader_id(), (None, leader))
             await deployment.stop()
 
         run_virtual(main())
--- a/tests/daemon/test_restart.py
+++ b/tests/daemon/test_restart.py
@@ -60,9 +60,9 @@
     def test_vm_that_learns_nothing_says_so(self):
         async def scenario(deployment):
             await deployment.crash(ENTRY)
-            deployment.cut([ENTRY])
+            deployment.partition([ENTRY])
             await deployment.start_vm(ENTRY)
-            deployment.cut([ENTRY])
+            deployment.partition([ENTRY])
             call = self.ask_for_models(deployment)
             status, refused = await call
             self.assertEqual(503, status)
--- a/tests/leases/test_histories.py
+++ b/tests/leases/test_histories.py
@@ -85,7 +85,7 @@
             await asyncio.sleep(self.rng.uniform(1, 6))
             victim = self.rng.choice(VM_IDS)
             if self.rng.random() < 0.5:
-                self.deployment.cut([victim])
+                self.deployment.partition([victim])
                 await asyncio.sleep(self.rng.uniform(1, 14))
                 self.deployment.heal([victim])
             else:
--- a/tests/leases/test_service.py
+++ b/tests/leases/test_service.py
@@ -40,7 +40,7 @@
         # same fencing number, and another VM can't acquire it.
         async def scenario(deployment, first, second):
             lease = await first.acquire(NAME)
-            await deployment.crash(deployment.leader(), power=True)
+            await deployment.crash(deployment.leader_id(), power=True)
             for _ in range(60):
                 await asyncio.sleep(0.5)
                 self.assertEqual(lease.fencing, first.held(NAME).fencing)
@@ -83,7 +83,7 @@
         # the next holder before that order has ended; others get it at once.
         async def scenario(deployment, first, second):
             await first.acquire(NAME)
-            deployment.cut(["e1.2"])
+            deployment.partition(["e1.2"])
             while first.held(NAME).expires_at - self.now() > 0.05:
                 await asyncio.sleep(0.01)
             async with first.order(NAME, checks_fencing=False):
@@ -124,7 +124,7 @@
             await asyncio.sleep(3)
             deployment.cluster.network.heal(control, ["e1.2"], both=False)
             lease = await acquiring
-            deployment.cut(["e1.2"])
+            deployment.partition(["e1.2"])
             granted = await second.acquire(NAME, timeout=30)
             self.assertGreater(granted.fencing, lease.fencing)
             self.assertIsNone(first.held(NAME))
--- a/tests/platform/test_faces.py
+++ b/tests/platform/test_faces.py
@@ -17,7 +17,7 @@
 from adapter.faces import OperatorCalls  # noqa: E402
 from adapter.faces import RunnerCalls  # noqa: E402
 
-from burdockdrum.configuration import ChangeUnknown  # noqa: E402
+from burdockdrum.configuration import ChangeOutcomeUnknown  # noqa: E402
 from burdockdrum.consensus import NotCurrent  # noqa: E402
 from burdockdrum.peers import VmIdentity  # noqa: E402
 from burdockdrum.registrations import RegistrationBook  # noqa: E402
@@ -44,7 +44,7 @@
             raise self.error
         return self.store.apply(change)
 
-    async def read_agreed(self, timeout):
+    async def read_committed(self, timeout):
         """Return the configuration, or raise."""
         if self.error is not None:
             raise self.error
@@ -131,7 +131,7 @@
         await self.call("PUT", "/v1/config", self.document())
         self.configuration.error = NotCurrent("no quorum")
         self.assertEqual(503, (await self.call("GET", "/v1/config"))[0])
-        self.configuration.error = ChangeUnknown("no answer")
+        self.configuration.error = ChangeOutcomeUnknown("no answer")
         body = self.document(version=8)
         self.assertEqual(503, (await self.call("PUT", "/v1/config", body))[0])
 
--- a/tests/web/test_operators.py
+++ b/tests/web/test_operators.py
@@ -124,7 +124,7 @@
         # The entry can't reach the control VM. The operator must not read
         # "not run": the change may have got there, only its answer did not.
         async def scenario(deployment, operator):
-            deployment.cut(["s1.1"])
+            deployment.partition(["s1.1"])
             status, found = await operator.put("north")
             self.assertEqual(503, status)
             self.assertEqual("may have run", found["error"]["verdict"])
@@ -172,7 +172,7 @@
             status, found = await operator.call("GET", "/v1/watch?revision=x")
             self.assertEqual(400, status)
 
-        with mock.patch.object(history, "KEPT_REVISIONS", 3):
+        with mock.patch.object(history, "MAX_KEPT_REVISIONS", 3):
             self.run_operator(scenario)
 
     def test_status_tells_age_and_where_revisions_are_in_force(self):
@@ -185,7 +185,7 @@
             )
             self.assertTrue(found["configuration"]["known"])
             self.assertLess(found["configuration"]["age_seconds"], 5)
-            deployment.cut(["s1.1"])
+            deployment.partition(["s1.1"])
             await asyncio.sleep(60)
             _, found = await operator.call("GET", "/v1/status")
             self.assertGreater(found["configuration"]["age_seconds"], 55)
