--- a/burdockdrum/quarantine/quarantine.py
+++ b/burdockdrum/quarantine/quarantine.py
@@ -97,17 +97,17 @@
         """Return whether a request must run apart from other suspects."""
         return self._find(fingerprint) is not None
 
-    def note_loss(self, fingerprint: str, endpoint: Endpoint) -> None:
+    def record_loss(self, fingerprint: str, endpoint: Endpoint) -> None:
         """Record the loss of an endpoint that ran a request."""
         notice = EndpointLost(
             fingerprint=fingerprint,
             endpoint_id=endpoint.endpoint_id,
             incarnation=endpoint.incarnation,
         )
-        self._record_loss(notice)
+        self._apply_loss(notice)
         self._broadcast(notice)
 
-    def note_completed(self, fingerprint: str) -> None:
+    def record_completion(self, fingerprint: str) -> None:
         """Clear a suspect after a run that completed."""
         suspect = self._suspects_by_fingerprint.get(fingerprint)
         if suspect is None or suspect.quarantined:
@@ -185,7 +185,7 @@
             return None
         return suspect
 
-    def _record_loss(self, notice: EndpointLost) -> None:
+    def _apply_loss(self, notice: EndpointLost) -> None:
         suspect = self._find(notice.fingerprint)
         if suspect is None:
             if len(self._suspects_by_fingerprint) >= MAX_SUSPECTS:
@@ -241,7 +241,7 @@
     async def _receive_loss(
         self, sender: Sender, notice: EndpointLost
     ) -> None:
-        self._record_loss(notice)
+        self._apply_loss(notice)
         self._forward_in_data_centre(notice)
 
     async def _receive_clear(
--- a/burdockdrum/requests/exchange.py
+++ b/burdockdrum/requests/exchange.py
@@ -160,7 +160,9 @@
         self._release_trial()
         self.verdict = Verdict.RAN
         if isinstance(upstream.target, EndpointTarget):
-            self._services.quarantine.note_completed(self.request.fingerprint)
+            self._services.quarantine.record_completion(
+                self.request.fingerprint
+            )
         self._services.timeline.record(
             "request.answered", request_id=self.request.request_id
         )
@@ -356,7 +358,9 @@
         await upstream.close()
 
     def _report_loss(self, endpoint: Endpoint) -> None:
-        self._services.quarantine.note_loss(self.request.fingerprint, endpoint)
+        self._services.quarantine.record_loss(
+            self.request.fingerprint, endpoint
+        )
 
     def _release_trial(self) -> None:
         if self._trial is not None:
