--- a/burdockdrum/passthrough/fleet.py
+++ b/burdockdrum/passthrough/fleet.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 import random
 
-from burdockdrum.holdings import HoldingsLedger
+from burdockdrum.holdings import PrefixCacheTable
 from burdockdrum.passthrough.endpoint_rating import EndpointRater
 from burdockdrum.passthrough.endpoint_rating import RatedRequest
 from burdockdrum.passthrough.endpoint_state import EndpointState
@@ -27,7 +27,7 @@
 from burdockdrum.registrations import Load
 from burdockdrum.registrations import RankLoad
 from burdockdrum.registrations import RegisteredEndpoint
-from burdockdrum.registrations import UNKNOWN_START
+from burdockdrum.registrations import UNKNOWN_INCARNATION
 from burdockdrum.resources import Backend
 from burdockdrum.resources import Route
 from burdockdrum.settings import MechanismSettings
@@ -55,8 +55,8 @@
         read_unreported_entries: Callable[[], int] = int,
         read_load_age: Callable[[], float] = float,
         drop_endpoint: Callable[[str], None] = lambda endpoint_id: None,
-        prefix_cache_table: HoldingsLedger | None = None,
-        note_shared: Callable[[str], None] = lambda part_id: None,
+        prefix_cache_table: PrefixCacheTable | None = None,
+        mark_shared: Callable[[str], None] = lambda part_id: None,
         read_region: Callable[[str], str | None] = lambda name: None,
         mechanisms: MechanismSettings | None = None,
         data_centre: str | None = None,
@@ -72,7 +72,7 @@
         :param drop_endpoint: removes an endpoint, by its id
         :param prefix_cache_table: the cached prefixes that endpoints have
             reported
-        :param note_shared: called with the id of each shared prompt part
+        :param mark_shared: called with the id of each shared prompt part
         :param read_region: returns the region of a data centre
         :param mechanisms: the enabled parts of the policy; default all
         :param data_centre: the data centre of this entry VM
@@ -84,7 +84,7 @@
         self.prefix_cache_view = PrefixCacheView(
             read_now=clock.monotonic,
             table=prefix_cache_table,
-            note_shared=note_shared,
+            mark_shared=mark_shared,
         )
         self.engines = EngineEstimates(mechanisms=self._mechanisms)
         self._timings = RequestTimings(engines=self.engines)
@@ -172,7 +172,7 @@
         waits = [rated.wait.total for rated in rated_endpoints]
         chosen = rated_endpoints[draw(waits, expected_work, self._rng)]
         prefill_cost_tokens = self._rater.prefill_cost_tokens(
-            request, chosen.unread_tokens
+            request, chosen.uncached_tokens
         )
         return replace(chosen, prefill_cost_tokens=prefill_cost_tokens)
 
@@ -331,7 +331,7 @@
             endpoint
             for endpoint in self._read_endpoints().values()
             if endpoint.service == service
-            and not endpoint.leaving
+            and not endpoint.is_draining
             and (endpoint.ends_at is None or endpoint.ends_at > now)
         ]
 
@@ -354,9 +354,12 @@
         self, endpoint: RegisteredEndpoint, backend: Backend
     ) -> bool:
         now = self._clock.monotonic()
-        if endpoint.cold_until > now:
+        if endpoint.slow_start_until > now:
             return True
-        if endpoint.born == UNKNOWN_START or not backend.cold_seconds:
+        if (
+            endpoint.incarnation == UNKNOWN_INCARNATION
+            or not backend.cold_seconds
+        ):
             # A restarted endpoint has a new id and refuses requests for the
             # old one.
             return False
@@ -370,8 +373,8 @@
     def _is_responsive(self, endpoint: RegisteredEndpoint) -> bool:
         """Return whether an endpoint sends heartbeats and responses."""
         state = self._states_by_id.get(endpoint.endpoint_id)
-        if endpoint.silent or state is None:
-            return not endpoint.silent
+        if endpoint.is_unreachable or state is None:
+            return not endpoint.is_unreachable
         now = self._clock.monotonic()
         is_reachable = state.health.is_reachable(now)
         return is_reachable and not self._is_suspect(state, endpoint, now)
--- a/burdockdrum/passthrough/prefix_cache_view.py
+++ b/burdockdrum/passthrough/prefix_cache_view.py
@@ -11,10 +11,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from burdockdrum.holdings import HoldingsLedger
+from burdockdrum.holdings import PrefixCacheTable
 from burdockdrum.passthrough.prompts import Prompt
 from burdockdrum.passthrough.prompts import PromptPart
-from burdockdrum.registrations import PlacedParts
+from burdockdrum.registrations import PlacedPrefix
 from burdockdrum.vms import choose_by_hash
 
 # The part of an engine's memory that is assumed to cache sent prompts; running
@@ -95,20 +95,22 @@
         self,
         *,
         read_now: Callable[[], float],
-        table: HoldingsLedger | None = None,
-        note_shared: Callable[[str], None] = lambda part_id: None,
+        table: PrefixCacheTable | None = None,
+        mark_shared: Callable[[str], None] = lambda part_id: None,
     ) -> None:
         """Create it without any sent prompts.
 
         :param read_now: returns the monotonic time
         :param table: the cache reports of endpoints
-        :param note_shared: called with the id of each shared part
+        :param mark_shared: called with the id of each shared part
         """
         self._read_now = read_now
-        self._cache_reports = table if table is not None else HoldingsLedger()
-        self._note_shared = note_shared
+        self._cache_reports = (
+            table if table is not None else PrefixCacheTable()
+        )
+        self._mark_shared = mark_shared
         self._sent_by_id: dict[str, SentParts] = {}
-        self._pending_notices: list[PlacedParts] = []
+        self._pending_notices: list[PlacedPrefix] = []
 
     def record_sent(
         self, endpoint_id: str, prompt: Prompt, memory_tokens: int
@@ -121,19 +123,19 @@
         )
         sent = self._find_or_add_sent(endpoint_id, memory_tokens)
         sent.note(prompt.parts, self._read_now())
-        self._note_shared_parts((part.part_id, part.tokens) for part in shared)
+        self._mark_shared_parts((part.part_id, part.tokens) for part in shared)
         if not is_new or prompt.shared_tokens < MIN_REPORTED_TOKENS:
             return
         if len(self._pending_notices) < MAX_PENDING_NOTICES:
             parts = [(part.part_id, part.tokens) for part in shared]
-            self._pending_notices.append(PlacedParts(endpoint_id, parts))
+            self._pending_notices.append(PlacedPrefix(endpoint_id, parts))
 
-    def pop_notices(self) -> list[PlacedParts]:
+    def pop_notices(self) -> list[PlacedPrefix]:
         """Return and clear the notices for other entries."""
         notices, self._pending_notices = self._pending_notices, []
         return notices
 
-    def record_notices(self, placed: list[PlacedParts]) -> None:
+    def record_notices(self, placed: list[PlacedPrefix]) -> None:
         """Record the prompt parts that another entry sent to endpoints."""
         now = self._read_now()
         for notice in placed:
@@ -147,7 +149,7 @@
                 ),
                 now,
             )
-            self._note_shared_parts(notice.parts)
+            self._mark_shared_parts(notice.parts)
 
     def cached_tokens(self, endpoint_id: str, prompt: Prompt) -> int:
         """Return the length in tokens of a prompt's cached prefix."""
@@ -180,7 +182,7 @@
         best: PrefixHolder | None = None
         for endpoint_id, address, data_centre in near:
             memory = self._cache_reports.find(endpoint_id)
-            if memory is not None and memory.is_silent:
+            if memory is not None and memory.is_unreachable:
                 continue
             tokens = self._count_cached_tokens(endpoint_id, shared)
             if tokens and (best is None or tokens > best.tokens):
@@ -218,7 +220,7 @@
             return best
         longest = max(shared, key=lambda part: part.tokens)
         for memory in self._cache_reports.holders(longest.part_id):
-            if memory.is_silent or not is_eligible(memory.data_centre):
+            if memory.is_unreachable or not is_eligible(memory.data_centre):
                 continue
             tokens = self._count_cached_tokens(memory.endpoint_id, shared)
             if best is None or tokens > best.tokens:
@@ -255,10 +257,10 @@
             skipped = 0
         return total
 
-    def _note_shared_parts(self, parts: Iterable[tuple[str, int]]) -> None:
+    def _mark_shared_parts(self, parts: Iterable[tuple[str, int]]) -> None:
         for part_id, tokens in parts:
             if tokens >= MIN_REPORTED_TOKENS:
-                self._note_shared(part_id)
+                self._mark_shared(part_id)
 
     def _find_or_add_sent(
         self, endpoint_id: str, memory_tokens: int
--- a/scripts/experiment/passed/world.py
+++ b/scripts/experiment/passed/world.py
@@ -6,17 +6,17 @@
 import functools
 import random
 
-from burdockdrum.holdings import HeldChange
-from burdockdrum.holdings import HoldingsLedger
+from burdockdrum.holdings import PrefixCacheChange
+from burdockdrum.holdings import PrefixCacheTable
 from burdockdrum.passthrough.fleet import Fleet
 from burdockdrum.passthrough.target_selection import TargetSelector
 from burdockdrum.peers import VmIdentity
 from burdockdrum.registrations import Load
-from burdockdrum.registrations import PlacedParts
+from burdockdrum.registrations import PlacedPrefix
 from burdockdrum.registrations import RankLoad
 from burdockdrum.registrations import RegisteredEndpoint
 from burdockdrum.registrations import RegistrationState
-from burdockdrum.registrations import ServiceRoom
+from burdockdrum.registrations import ServiceCapacity
 from burdockdrum.resources import Backend
 from burdockdrum.resources import Engine
 from scripts.experiment.passed.engine import SimulatedEngine
@@ -34,7 +34,7 @@
 # What entries and endpoints tell, and how late, in seconds: the intervals
 # of the product, a millisecond within a region and 55 between two.
 TELL_SECONDS = 0.1
-ROOM_SECONDS = 0.5
+CAPACITY_INTERVAL_SECONDS = 0.5
 NEWS_SECONDS = 1.0
 NEAR_SECONDS = 0.001
 FAR_SECONDS = 0.055
@@ -54,17 +54,17 @@
     is_up: bool = True
     fleet: Fleet = field(init=False)
     placing: Placer = field(init=False)
-    ledger: HoldingsLedger = field(init=False)
+    prefix_cache_table: PrefixCacheTable = field(init=False)
     loads_by_vm: dict[str, dict[str, list[RankLoad]]] = field(
         default_factory=dict
     )
-    rooms: list[ServiceRoom] = field(default_factory=list)
+    capacities: list[ServiceCapacity] = field(default_factory=list)
 
     def load_of(self, endpoint_id: str) -> Load:
         """Return what the others have at an endpoint."""
         load = Load()
         for ranks_by_id in self.loads_by_vm.values():
-            load.merge(Load.of(ranks_by_id.get(endpoint_id, [])))
+            load.merge(Load.from_ranks(ranks_by_id.get(endpoint_id, [])))
         return load
 
 
@@ -134,7 +134,7 @@
         for entry in self.entries:
             delay = self._rng.random() * TELL_SECONDS * self.times
             self.schedule.after(delay, self._make_teller(entry))
-        every(ROOM_SECONDS * self.times, self._tell_rooms)
+        every(CAPACITY_INTERVAL_SECONDS * self.times, self._send_capacities)
         every(NEWS_SECONDS * self.times, self._tell_holdings)
         for happening in happenings:
             strike = functools.partial(self._strike, happening)
@@ -152,7 +152,7 @@
             slots=self.shape.slots,
             sequence=1,
             state=RegistrationState.READY,
-            cold_until=0.0,
+            slow_start_until=0.0,
             ends_at=None,
         )
 
@@ -176,16 +176,16 @@
         """Give an entry a policy that knows nothing yet."""
         region = entry.identity.region
         endpoints = self._endpoints_by_region[region]
-        entry.ledger = HoldingsLedger()
+        entry.prefix_cache_table = PrefixCacheTable()
         entry.loads_by_vm = {}
-        entry.rooms = []
+        entry.capacities = []
         entry.fleet = Fleet(
             clock=self.schedule,
             rng=entry.rng,
             read_endpoints=lambda: endpoints,
             read_load=entry.load_of,
             read_load_age=lambda: TELL_SECONDS * self.times,
-            prefix_cache_table=entry.ledger,
+            prefix_cache_table=entry.prefix_cache_table,
             read_region=lambda name: name,
             mechanisms=self._variant.mechanisms,
         )
@@ -203,7 +203,7 @@
             rng=entry.rng,
             fleet=entry.fleet,
             region=region,
-            read_capacities=lambda: entry.rooms,
+            read_capacities=lambda: entry.capacities,
             read_entries=lambda: [
                 other.identity for other in self.entries if other.is_up
             ],
@@ -236,27 +236,27 @@
         other: Entry,
         entry: Entry,
         load: dict[str, list[RankLoad]],
-        placed: list[PlacedParts],
+        placed: list[PlacedPrefix],
     ) -> None:
         other.loads_by_vm[entry.identity.vm_id] = load
         other.fleet.prefix_cache_view.record_notices(placed)
 
-    def _tell_rooms(self) -> None:
-        rooms = [self._sum_room(region) for region in REGIONS]
+    def _send_capacities(self) -> None:
+        capacities = [self._sum_capacity(region) for region in REGIONS]
 
         def hear() -> None:
             for entry in self.entries:
-                entry.rooms = rooms
+                entry.capacities = capacities
 
         self.schedule.after(FAR_SECONDS * self.times, hear)
 
-    def _sum_room(self, region: str) -> ServiceRoom:
+    def _sum_capacity(self, region: str) -> ServiceCapacity:
         load = Load()
         for entry in self.live_entries(region):
             for ranks in entry.fleet.read_own_load().values():
-                load.merge(Load.of(ranks))
+                load.merge(Load.from_ranks(ranks))
         endpoints = self._endpoints_by_region[region]
-        return ServiceRoom(
+        return ServiceCapacity(
             region,
             SERVICE,
             len(endpoints),
@@ -277,12 +277,12 @@
                     take = functools.partial(self._take, entry, change)
                     self.schedule.after(seconds * self.times, take)
 
-    def _take(self, entry: Entry, change: HeldChange) -> None:
-        entry.ledger.take(change, self.schedule.now)
+    def _take(self, entry: Entry, change: PrefixCacheChange) -> None:
+        entry.prefix_cache_table.apply(change, self.schedule.now)
 
-    def _read_change(self, endpoint: RegisteredEndpoint) -> HeldChange:
+    def _read_change(self, endpoint: RegisteredEndpoint) -> PrefixCacheChange:
         engine = self.engines_by_id[endpoint.endpoint_id]
-        return HeldChange(
+        return PrefixCacheChange(
             endpoint_id=endpoint.endpoint_id,
             address=endpoint.address,
             data_centre=endpoint.data_centre,
@@ -293,7 +293,7 @@
                 for part_id, tokens in engine.tokens_by_part.items()
                 if not part_id.startswith("own-")
             },
-            whole=True,
+            is_snapshot=True,
         )
 
     def _strike(self, happening: Happening) -> None:
--- a/tests/passthrough/test_callers.py
+++ b/tests/passthrough/test_callers.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from burdockdrum.registrations import ServiceRoom
+from burdockdrum.registrations import ServiceCapacity
 from burdockdrum.resources import RateLimit
 from tests.callers.fakes import CERTAIN_SECONDS
 from tests.callers.fakes import make_team
@@ -80,7 +80,7 @@
         self.addCleanup(writer.close)
         statuses = []
         for teams in ([make_team("blue", "t1")], [make_team("blue")]):
-            self.world.configuration.bring(
+            self.world.configuration.apply(
                 teams=teams, routes=[self.world.route]
             )
             writer.write(b"GET /p/x HTTP/1.1\r\nHost: h\r\n" + TOKEN)
@@ -97,7 +97,7 @@
         )
         far = Endpoint(answer())
         await self.world.open_entry("there", [far])
-        entry.capacities.append(ServiceRoom("there", "model", 1, 8, []))
+        entry.capacities.append(ServiceCapacity("there", "model", 1, 8, []))
         status, _, _ = await entry.call(TOKEN)
         self.assertEqual(200, status)
         self.assertEqual([], self.endpoint.seen)
@@ -137,4 +137,4 @@
         entry = await self.open(teams=[make_team("blue", "t1", limit=limit)])
         statuses = {(await entry.call(TOKEN))[0] for _ in range(3)}
         self.assertEqual({503}, statuses)
-        self.assertEqual(0.0, entry.meter.read_own()["blue"].used)
+        self.assertEqual(0.0, entry.meter.local_usage()["blue"].used)
