--- a/burdockdrum/configuration/history.py
+++ b/burdockdrum/configuration/history.py
@@ -9,7 +9,7 @@
 from burdockdrum.resources import ResourceRevision
 
 # Covers two and a half hours at 9,500 changes a day.
-KEPT_REVISIONS = 1000
+MAX_KEPT_REVISIONS = 1000
 
 
 class RevisionGone(Exception):
@@ -38,7 +38,7 @@
         self.current = Configuration()
         self.listeners: list[Callable[[Configuration], None]] = []
         self._changes = collections.deque[ResourceRevision](
-            maxlen=KEPT_REVISIONS
+            maxlen=MAX_KEPT_REVISIONS
         )
         self._revision_added = asyncio.Event()
 
--- a/burdockdrum/configuration/services.py
+++ b/burdockdrum/configuration/services.py
@@ -3,14 +3,14 @@
 import functools
 import random
 
-from burdockdrum.configuration.control import propose_lease
+from burdockdrum.configuration.control import propose_lease_command
 from burdockdrum.configuration.control_state import ControlState
 from burdockdrum.configuration.reports import Directory
 from burdockdrum.configuration.service import ConfigurationService
 from burdockdrum.consensus import LogSettings
 from burdockdrum.consensus import ReplicatedLog
 from burdockdrum.kernel import Kernel
-from burdockdrum.leases import LeaseKeeper
+from burdockdrum.leases import LeaseManager
 from burdockdrum.metrics import Metrics
 from burdockdrum.peers import Peers
 from burdockdrum.ports import Clock
@@ -24,7 +24,7 @@
     if kernel.has("disk"):
         kernel.add("control_state", lambda kernel: ControlState())
         kernel.add("log", _build_log)
-        kernel.add("lease_keeper", _build_lease_keeper)
+        kernel.add("lease_keeper", _build_lease_manager)
     kernel.add("configuration", _build_configuration)
 
 
@@ -42,15 +42,15 @@
     )
 
 
-def _build_lease_keeper(kernel: Kernel) -> LeaseKeeper:
+def _build_lease_manager(kernel: Kernel) -> LeaseManager:
     log = kernel.find("log", ReplicatedLog)
-    return LeaseKeeper(
+    return LeaseManager(
         peers=kernel.find("peers", Peers),
         clock=kernel.find("clock", Clock),
         rng=kernel.find("random", random.Random),
         table=kernel.find("control_state", ControlState).leases,
         leadership=log,
-        propose=functools.partial(propose_lease, log),
+        propose=functools.partial(propose_lease_command, log),
     )
 
 
@@ -58,7 +58,7 @@
     members = settings.control.members
     is_founder = settings.vm.id in members
 
-    def read_addresses() -> list[str]:
+    def read_control_addresses() -> list[str]:
         service = kernel.find("configuration", ConfigurationService)
         learned = service.control_addresses.values()
         return [*members.values(), *settings.cluster.join, *learned]
@@ -66,11 +66,11 @@
     return LogSettings(
         vm_id=settings.vm.id,
         bootstrap_addresses_by_id=members if is_founder else {},
-        voters=settings.control.voters,
+        target_voter_count=settings.control.voters,
         election_timeout_seconds=settings.control.election_seconds,
         heartbeat_seconds=settings.control.election_seconds / 5,
         call_timeout_seconds=settings.control.election_seconds / 2,
-        read_addresses=read_addresses,
+        read_control_addresses=read_control_addresses,
     )
 
 
--- a/burdockdrum/web/authentication.py
+++ b/burdockdrum/web/authentication.py
@@ -42,7 +42,7 @@
         """
         # A request without a token is rejected without waiting.
         self._read_token(request)
-        if not await self._configuration.wait_until_known(
+        if not await self._configuration.wait_until_synced(
             CONFIGURATION_TIMEOUT_SECONDS
         ):
             raise Refusal(
--- a/scripts/bench/control_plane.py
+++ b/scripts/bench/control_plane.py
@@ -7,10 +7,10 @@
 
 from burdockdrum.configuration import ConfigurationService
 from burdockdrum.configuration import ControlState
-from burdockdrum.configuration import propose_lease
+from burdockdrum.configuration import propose_lease_command
 from burdockdrum.consensus import LogSettings
 from burdockdrum.consensus import ReplicatedLog
-from burdockdrum.leases import LeaseKeeper
+from burdockdrum.leases import LeaseManager
 from burdockdrum.leases import LeaseService
 from burdockdrum.metrics import Metrics
 from burdockdrum.peers import PayloadAuthenticator
@@ -87,15 +87,15 @@
                     bootstrap_addresses_by_id=self._members,
                 ),
             )
-            keeper = LeaseKeeper(
+            manager = LeaseManager(
                 peers=peers,
                 clock=clock,
                 rng=rng,
                 table=state.leases,
                 leadership=self.log,
-                propose=functools.partial(propose_lease, self.log),
+                propose=functools.partial(propose_lease_command, self.log),
             )
-            services += [self.log, keeper]
+            services += [self.log, manager]
         self.configuration = ConfigurationService(
             peers=peers,
             clock=clock,
--- a/tests/web/test_operators.py
+++ b/tests/web/test_operators.py
@@ -123,7 +123,7 @@
     def test_change_may_have_run_if_the_control_vm_is_unreachable(self):
         # The change may have been applied and only its response lost.
         async def scenario(deployment, operator):
-            deployment.cut(["s1.1"])
+            deployment.partition(["s1.1"])
             status, found = await operator.put("north")
             self.assertEqual(503, status)
             self.assertEqual("may have run", found["error"]["verdict"])
@@ -169,7 +169,7 @@
             status, found = await operator.call("GET", "/v1/watch?revision=x")
             self.assertEqual(400, status)
 
-        with mock.patch.object(history, "KEPT_REVISIONS", 3):
+        with mock.patch.object(history, "MAX_KEPT_REVISIONS", 3):
             self.run_operator(scenario)
 
     def test_status_shows_configuration_age_and_revisions_in_force(self):
@@ -182,7 +182,7 @@
             )
             self.assertTrue(found["configuration"]["known"])
             self.assertLess(found["configuration"]["age_seconds"], 5)
-            deployment.cut(["s1.1"])
+            deployment.partition(["s1.1"])
             await asyncio.sleep(60)
             _, found = await operator.call("GET", "/v1/status")
             self.assertGreater(found["configuration"]["age_seconds"], 55)
