--- a/run.py
+++ b/run.py
@@ -67,17 +67,17 @@
             command.extend(extra)
         else:
             command.append(word.format(python=python))
-    # The platform's programs find their package beside them.
+    # The programs of the platform import the package from this folder.
     paths = os.pathsep.join([str(ROOT), str(ROOT / "platform")])
     environment = dict(os.environ, PYTHONPATH=paths, MYPYPATH=paths)
     return subprocess.run(command, cwd=ROOT, env=environment).returncode
 
 
 def find_steps(words: list[str]) -> tuple[list[list[str]], list[str]]:
-    """Return the commands of a job, none if there is no such job.
+    """Return the commands of a job, or none if the job is unknown.
 
-    :param words: those of the command line
-    :returns: the commands, and the arguments of those that take any
+    :param words: the arguments of the command line
+    :returns: the commands, and the arguments passed on to them
     """
     if len(words) > 1 and words[0] == "script":
         module = f"scripts.{words[1]}"
--- a/scripts/bench/passthrough.py
+++ b/scripts/bench/passthrough.py
@@ -21,7 +21,7 @@
 
 from docopt import docopt
 
-from scripts.failed_requests import Scene
+from scripts.failed_requests import Scenario
 from scripts.local_deployment import CALLERS_PORT
 from scripts.local_deployment import Machine
 
@@ -72,12 +72,12 @@
 
 
 async def _measure(calls: int, idle_seconds: float) -> None:
-    scene = Scene()
+    scenario = Scenario()
     try:
-        await scene.open()
-        before = {m.name: _processor_seconds(m) for m in scene.machines}
+        await scenario.open()
+        before = {m.name: _processor_seconds(m) for m in scenario.machines}
         await asyncio.sleep(idle_seconds)
-        for machine in scene.machines:
+        for machine in scenario.machines:
             used = _processor_seconds(machine) - before[machine.name]
             share = used / idle_seconds * 100
             print(
@@ -85,15 +85,18 @@
                 f"{_resident_mib(machine):5.1f} MiB",
                 flush=True,
             )
-        near, far = scene.deployment.entries[0], scene.deployment.entries[1]
+        near, far = (
+            scenario.deployment.entries[0],
+            scenario.deployment.entries[1],
+        )
         for name, address in (
-            ("directly", scene.runner.address),
+            ("directly", scenario.endpoint.address),
             ("through its entry", f"{near.ip}:{CALLERS_PORT}"),
             ("through another region's", f"{far.ip}:{CALLERS_PORT}"),
         ):
             _show(name, await _time_calls(address, calls))
     finally:
-        await scene.close()
+        await scenario.close()
 
 
 def main() -> int:
--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -21,16 +21,16 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 SLOPES = ROOT / "docs" / "capacity-slopes.toml"
 PAGE = ROOT / "docs" / "CAPACITY.md"
-_MARKED = r"(<!-- {0} -->\n).*?(<!-- end -->)"
-_SECONDS_A_DAY = 86400
-# The busiest data centre: capacity differs tenfold between regions, so one
-# region may have three times the mean and another a third of it.
+_TABLE_PATTERN = r"(<!-- {0} -->\n).*?(<!-- end -->)"
+_SECONDS_PER_DAY = 86400
+# The largest data centre relative to the mean: capacities of regions differ
+# by a factor of ten, from a third of the mean to three times the mean.
 BUSY_FACTOR = 3
 
 
 @dataclass(frozen=True, kw_only=True)
 class Cost:
-    """What control costs a node of one role."""
+    """The control plane overhead of a node in one role."""
 
     role: str
     core_percent: float
@@ -39,51 +39,55 @@
 
 
 def compute_costs(slopes: dict[str, Any]) -> list[Cost]:
-    """Return what each role costs at the size of two years."""
+    """Return the overhead of each role at the projected size."""
     size = slopes["size"]
     mean = size["endpoints"] / size["data_centres"]
-    changes = size["changes_per_day"] / _SECONDS_A_DAY
+    changes_per_second = size["changes_per_day"] / _SECONDS_PER_DAY
     return [
-        _serving(slopes, "serving VM", mean),
-        _serving(
+        _serving_cost(slopes, "serving VM", mean),
+        _serving_cost(
             slopes,
             f"serving VM, {BUSY_FACTOR} times the endpoints",
             BUSY_FACTOR * mean,
         ),
-        _relay(slopes, mean, changes),
-        _control(slopes, changes, leads=False),
-        _control(slopes, changes, leads=True),
+        _relay_cost(slopes, mean, changes_per_second),
+        _control_cost(slopes, changes_per_second, leads=False),
+        _control_cost(slopes, changes_per_second, leads=True),
     ]
 
 
-def _serving(slopes: dict[str, Any], role: str, endpoints: float) -> Cost:
-    base, grown = slopes["data_centre"], slopes["membership"]
+def _serving_cost(slopes: dict[str, Any], role: str, endpoints: float) -> Cost:
+    base, membership = slopes["data_centre"], slopes["membership"]
     size, memory = slopes["size"], slopes["memory"]
-    more = endpoints - grown["endpoints_measured"]
-    others = size["data_centres"] - 1
-    caches = grown["cache_megabytes_160_endpoints"]
-    caches *= endpoints / grown["endpoints_measured"]
-    events = memory["events"] * memory["event_bytes"] / 1e6
+    extra_endpoints = endpoints - membership["endpoints_measured"]
+    other_data_centres = size["data_centres"] - 1
+    cache_megabytes = membership["cache_megabytes_160_endpoints"]
+    cache_megabytes *= endpoints / membership["endpoints_measured"]
+    event_megabytes = memory["events"] * memory["event_bytes"] / 1e6
     return Cost(
         role=role,
         core_percent=base["core_percent"]
-        + more * grown["cpu_ms_per_endpoint"] / 10,
+        + extra_endpoints * membership["cpu_ms_per_endpoint"] / 10,
         megabytes=base["megabytes"]
-        + more * grown["kilobytes_per_endpoint"] / 1000
-        + caches
-        + events
+        + extra_endpoints * membership["kilobytes_per_endpoint"] / 1000
+        + cache_megabytes
+        + event_megabytes
         + slopes["configuration"]["megabytes"],
         bytes_per_second=base["bytes_per_second"]
-        + more * grown["bytes_per_endpoint"]
-        + others * grown["bytes_per_data_centre"],
+        + extra_endpoints * membership["bytes_per_endpoint"]
+        + other_data_centres * membership["bytes_per_data_centre"],
     )
 
 
-def _relay(slopes: dict[str, Any], endpoints: float, changes: float) -> Cost:
-    serving = _serving(slopes, "relay", endpoints)
-    moved = slopes["configuration"]
-    extra = moved["relay_idle_bytes"] - moved["member_idle_bytes"]
-    extra += changes * moved["relay_change_bytes"]
+def _relay_cost(
+    slopes: dict[str, Any], endpoints: float, changes_per_second: float
+) -> Cost:
+    serving = _serving_cost(slopes, "relay", endpoints)
+    configuration = slopes["configuration"]
+    extra = (
+        configuration["relay_idle_bytes"] - configuration["member_idle_bytes"]
+    )
+    extra += changes_per_second * configuration["relay_change_bytes"]
     return Cost(
         role="relay of a data centre",
         core_percent=serving.core_percent,
@@ -92,23 +96,25 @@
     )
 
 
-def _control(slopes: dict[str, Any], changes: float, *, leads: bool) -> Cost:
-    """Return the cost of a control VM that is set aside from serving."""
-    base, moved = slopes["data_centre"], slopes["configuration"]
+def _control_cost(
+    slopes: dict[str, Any], changes_per_second: float, *, leads: bool
+) -> Cost:
+    """Return the cost of a control VM that serves no requests."""
+    base, configuration = slopes["data_centre"], slopes["configuration"]
     name = "leader" if leads else "control"
-    idle = moved[f"{name}_idle_bytes"]
-    a_change = moved[f"{name}_change_bytes"]
-    which = "core_percent_leader" if leads else "core_percent"
+    idle_bytes = configuration[f"{name}_idle_bytes"]
+    bytes_per_change = configuration[f"{name}_change_bytes"]
+    core_key = "core_percent_leader" if leads else "core_percent"
     return Cost(
         role=f"control VM set aside, {'leading' if leads else 'following'}",
-        core_percent=base[which],
-        megabytes=base["megabytes"] + moved["megabytes"],
-        bytes_per_second=idle + changes * a_change,
+        core_percent=base[core_key],
+        megabytes=base["megabytes"] + configuration["megabytes"],
+        bytes_per_second=idle_bytes + changes_per_second * bytes_per_change,
     )
 
 
-def show_costs(slopes: dict[str, Any]) -> str:
-    """Return the table of roles, with what does not fit marked."""
+def format_costs(slopes: dict[str, Any]) -> str:
+    """Return the table of roles, with figures over budget in bold."""
     budget = slopes["budget"]
     rows = [
         "| role | core | memory | control traffic sent |",
@@ -117,9 +123,13 @@
         f"| {budget['bytes_per_second'] / 1000:.1f} KB/s |",
     ]
     for cost in compute_costs(slopes):
-        core = _mark(cost.core_percent, budget["core_percent"], "{:.1f}%")
-        memory = _mark(cost.megabytes, budget["megabytes"], "{:.0f} MB")
-        traffic = _mark(
+        core = _format_figure(
+            cost.core_percent, budget["core_percent"], "{:.1f}%"
+        )
+        memory = _format_figure(
+            cost.megabytes, budget["megabytes"], "{:.0f} MB"
+        )
+        traffic = _format_figure(
             cost.bytes_per_second / 1000,
             budget["bytes_per_second"] / 1000,
             "{:.1f} KB/s",
@@ -128,25 +138,25 @@
     return "\n".join(rows) + "\n"
 
 
-def show_data_path(slopes: dict[str, Any]) -> str:
-    """Return the table of the data path over the serving VMs."""
+def format_data_path(slopes: dict[str, Any]) -> str:
+    """Return the table of the load on the data path of a serving VM."""
     size, requests = slopes["size"], slopes["requests"]
     vms = size["vms"] - slopes["budget"]["set_aside_vms"]
     arriving = size["requests_per_second"] / vms
     tokens = size["tokens_per_second"] / vms
-    answer_tokens = size["tokens_per_second"] / size["requests_per_second"]
-    seconds = answer_tokens * 0.047
+    tokens_per_answer = size["tokens_per_second"] / size["requests_per_second"]
+    answer_seconds = tokens_per_answer * 0.047
     for_requests = arriving * requests["cpu_ms_per_request"] / 10
     for_tokens = tokens * requests["cpu_us_per_token"] / 10_000
-    streams = arriving * seconds
-    memory = streams * slopes["memory"]["stream_kilobytes"] / 1000
+    open_streams = arriving * answer_seconds
+    memory = open_streams * slopes["memory"]["stream_kilobytes"] / 1000
     return "\n".join(
         [
             "| the data path, a serving VM | figure |",
             "| --- | --- |",
             f"| requests a second | {arriving:.0f} |",
             f"| tokens a second | {tokens:.0f} |",
-            f"| streams open at 47 ms a token | {streams:.0f} |",
+            f"| streams open at 47 ms a token | {open_streams:.0f} |",
             f"| core for requests | {for_requests:.1f}% |",
             f"| core for tokens | {for_tokens:.0f}% |",
             f"| memory of open streams | {memory:.0f} MB |",
@@ -155,16 +165,16 @@
     )
 
 
-def _mark(value: float, limit: float, form: str) -> str:
-    shown = form.format(value)
-    return f"**{shown}**" if value > limit else shown
+def _format_figure(value: float, limit: float, template: str) -> str:
+    text = template.format(value)
+    return f"**{text}**" if value > limit else text
 
 
 def render(page: str, slopes: dict[str, Any]) -> str:
-    """Return the page with its tables worked out anew."""
-    tables = {"roles": show_costs(slopes), "data": show_data_path(slopes)}
+    """Return the page with its tables recalculated."""
+    tables = {"roles": format_costs(slopes), "data": format_data_path(slopes)}
     for name, table in tables.items():
-        pattern = re.compile(_MARKED.format(name), re.S)
+        pattern = re.compile(_TABLE_PATTERN.format(name), re.S)
         page = pattern.sub(rf"\g<1>{table}\g<2>", page)
     return page
 
@@ -172,7 +182,7 @@
 def main() -> int:
     """Rewrite or check the page.
 
-    :returns: 1 if the page was checked and is not what the slopes give
+    :returns: 1 if the checked page is out of date
     """
     arguments = docopt(__doc__)
     slopes = tomllib.loads(SLOPES.read_text())
@@ -181,8 +191,8 @@
     if arguments["--check"]:
         return 0 if rendered == page else 1
     PAGE.write_text(rendered)
-    print(show_costs(slopes))
-    print(show_data_path(slopes))
+    print(format_costs(slopes))
+    print(format_data_path(slopes))
     return 0
 
 
--- a/scripts/cluster.py
+++ b/scripts/cluster.py
@@ -1,7 +1,7 @@
-"""Start and end the processes of a small cluster on loopback.
+"""Start and stop the processes of a small cluster on loopback.
 
-The product's processes start no others; this program outside the package
-does it for the demonstration and the tests over real processes.
+The demonstration, the benchmarks and the fault injection over real processes
+run on such a cluster.
 """
 
 import asyncio
@@ -16,14 +16,14 @@
 from burdockdrum.resources import hash_token
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-END_SECONDS = 20.0
+STOP_TIMEOUT_SECONDS = 20.0
 PORT_RANGE = (20_000, 30_000)
-START_SECONDS = 30.0
+START_TIMEOUT_SECONDS = 30.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class VmPlan:
-    """One entry VM to start; its data centre is named after its region."""
+    """An entry VM to start; its data centre is named after its region."""
 
     vm_id: str
     region: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EndpointPlan:
-    """One stand-in to start."""
+    """An emulated endpoint to start."""
 
     endpoint_id: str
     region: str
@@ -43,12 +43,12 @@
 
 
 class Cluster:
-    """The running processes; an asynchronous context manager."""
+    """A cluster of processes; an asynchronous context manager."""
 
     def __init__(
         self, *, vms: list[VmPlan], endpoints: list[EndpointPlan]
     ) -> None:
-        """Plan a cluster without starting it."""
+        """Create a cluster that is not started."""
         self._vms = vms
         self._endpoints = endpoints
         self._folder = tempfile.TemporaryDirectory()
@@ -56,7 +56,7 @@
         self.operator_token = secrets.token_urlsafe(24)
         self.endpoint_token = secrets.token_urlsafe(24)
         self._secret = secrets.token_urlsafe(24)
-        ports = iter(free_ports(2 * len(vms)))
+        ports = iter(find_free_ports(2 * len(vms)))
         self._control_ports = {plan.vm_id: next(ports) for plan in vms}
         self._http_ports = {plan.vm_id: next(ports) for plan in vms}
         self.processes_by_name: dict[str, asyncio.subprocess.Process] = {}
@@ -104,7 +104,7 @@
         self._folder.cleanup()
 
     async def start_vm(self, plan: VmPlan) -> None:
-        """Start the daemon of a VM, or start it again."""
+        """Start or restart the daemon of a VM."""
         path = self.folder / f"{plan.vm_id}.toml"
         path.write_text(self._settings(plan))
         await self._start(
@@ -113,11 +113,11 @@
         )
 
     async def wait_until_serving(self, vm_id: str) -> None:
-        """Wait until a VM takes connections from callers.
+        """Wait until a VM accepts connections from callers.
 
-        :raises TimeoutError: if it does not in time
+        :raises TimeoutError: if it does not start in time
         """
-        async with asyncio.timeout(START_SECONDS):
+        async with asyncio.timeout(START_TIMEOUT_SECONDS):
             while True:
                 try:
                     _, writer = await asyncio.open_connection(
@@ -130,7 +130,7 @@
                 return
 
     async def stop(self, name: str, *, kill: bool = False) -> int:
-        """End a process with SIGTERM, or kill it.
+        """Stop a process with SIGTERM or SIGKILL.
 
         :returns: its exit code
         """
@@ -139,7 +139,7 @@
             process.kill()
         else:
             process.terminate()
-        async with asyncio.timeout(END_SECONDS):
+        async with asyncio.timeout(STOP_TIMEOUT_SECONDS):
             return await process.wait()
 
     async def _start(self, name: str, arguments: list[str]) -> None:
@@ -176,15 +176,17 @@
             for vm in self._vms
             if vm.control
         }
-        # The VM with a disk keeps the claims of its region.
+        # The control VM of a region stores the claims of that region.
         keepers = {
             vm.vm_id: members[vm.vm_id]
             for vm in self._vms
             if vm.control and vm.region == plan.region
         }
-        data = ""
+        data_folder_line = ""
         if plan.control:
-            data = f'data_folder = "{self.folder / (plan.vm_id + ".data")}"'
+            data_folder_line = (
+                f'data_folder = "{self.folder / (plan.vm_id + ".data")}"'
+            )
         join = [self._control_address(vm.vm_id) for vm in self._vms[:2]]
         return f"""
 [vm]
@@ -201,13 +203,13 @@
 join = {join}
 
 [control]
-{data}
+{data_folder_line}
 
 [control.members]
-{show_table(members)}
+{format_toml_table(members)}
 
 [claims.keepers]
-{show_table(keepers)}
+{format_toml_table(keepers)}
 
 [operators]
 token_hashes = ["{hash_token(self.operator_token)}"]
@@ -220,16 +222,16 @@
         return f"tcp://127.0.0.1:{self._control_ports[vm_id]}"
 
 
-def show_table(addresses: dict[str, str]) -> str:
+def format_toml_table(addresses: dict[str, str]) -> str:
     """Return the lines of a TOML table."""
     return "\n".join(f'{k} = "{v}"' for k, v in addresses.items())
 
 
-def free_ports(count: int) -> list[int]:
-    """Return different ports that were free a moment ago.
+def find_free_ports(count: int) -> list[int]:
+    """Return distinct ports that are currently free.
 
-    They lie below those that the machine gives to connections, or one of
-    these could take a daemon's port before it listens.
+    They lie below the ephemeral port range, so that no outgoing connection
+    takes a port before its daemon listens.
     """
     ports: list[int] = []
     for port in random.sample(range(*PORT_RANGE), 4 * count):
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -56,22 +56,22 @@
 ]
 COMPLETIONS = 40
 PLAIN_CALLS = 20
-IN_FORCE_LIMIT = 15.0
+IN_FORCE_TIMEOUT_SECONDS = 15.0
 
-Check = Callable[[GatewayReply], bool]
+AnswerCheck = Callable[[GatewayReply], bool]
 
 
 @dataclass(frozen=True, kw_only=True)
 class Outcome:
-    """What came of one request."""
+    """The result of one request."""
 
-    sort: str
+    category: str
     result: str
     seconds: float
 
 
-class Demonstration:
-    """The operator and the callers of the demonstration."""
+class Demo:
+    """The operator and the callers of the demo."""
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
@@ -82,7 +82,7 @@
         self.outcomes: list[Outcome] = []
 
     async def run(self) -> None:
-        """Write resources, wait until in force, and send requests."""
+        """Write resources, wait until they are in force, send requests."""
         operator = self._connect(self._cluster.operator_token)
         await self._write_resources(operator)
         await self._wait_in_force(operator)
@@ -91,7 +91,7 @@
         calls = [self._complete(caller, i) for i in range(COMPLETIONS)]
         calls += [self._call_plain(caller, i) for i in range(PLAIN_CALLS)]
         await asyncio.gather(*calls)
-        await self._send_out_of_bounds()
+        await self._send_outside_residency()
 
     def _connect(self, token: str) -> GatewayClient:
         return GatewayClient(
@@ -116,11 +116,11 @@
     async def _put(
         self, operator: GatewayClient, kind: str, name: str, body: bytes
     ) -> GatewayReply:
-        limit = time.monotonic() + IN_FORCE_LIMIT
+        deadline = time.monotonic() + IN_FORCE_TIMEOUT_SECONDS
         while True:
             path = f"/v1/resources/{kind}/{name}"
             reply = await operator.call("PUT", path, body=body)
-            if reply.status < 500 or time.monotonic() > limit:
+            if reply.status < 500 or time.monotonic() > deadline:
                 return reply
             await asyncio.sleep(0.2)
 
@@ -135,7 +135,7 @@
 
     async def _wait_in_force(self, operator: GatewayClient) -> None:
         started = time.monotonic()
-        while time.monotonic() < started + IN_FORCE_LIMIT:
+        while time.monotonic() < started + IN_FORCE_TIMEOUT_SECONDS:
             reply = await operator.call("GET", "/v1/resources/client/north")
             if reply.ok:
                 status = json.loads(reply.body)["status"]
@@ -147,10 +147,10 @@
         raise SystemExit("the configuration did not come in force in time")
 
     async def _wait_for_endpoints(self, caller: GatewayClient) -> None:
-        """Wait until each entry VM has heard of every service."""
-        limit = time.monotonic() + IN_FORCE_LIMIT
+        """Wait until each entry VM can reach the plain service."""
+        deadline = time.monotonic() + IN_FORCE_TIMEOUT_SECONDS
         for url in self._cluster.entry_urls:
-            while time.monotonic() < limit:
+            while time.monotonic() < deadline:
                 answer = await caller.open(url, "GET", "/services/roster/ping")
                 async for _ in answer.chunks():
                     pass
@@ -170,15 +170,15 @@
             }
         ).encode()
         prompt = json.dumps(messages, separators=(",", ":")).encode()
-        wanted = make_answer(prompt, 12)
-        sort = "completion, streamed" if stream else "completion, whole"
+        expected = make_answer(prompt, 12)
+        category = "completion, streamed" if stream else "completion, whole"
         await self._send(
             caller,
-            sort,
+            category,
             "POST",
             "/v1/chat/completions",
             body,
-            lambda reply: _read_text(reply, stream) == wanted,
+            lambda reply: _read_text(reply, stream) == expected,
         )
 
     async def _call_plain(self, caller: GatewayClient, number: int) -> None:
@@ -191,7 +191,7 @@
             lambda reply: json.loads(reply.body)["path"] == f"/crews/{number}",
         )
 
-    async def _send_out_of_bounds(self) -> None:
+    async def _send_outside_residency(self) -> None:
         caller = self._connect(self._tokens["north"])
         messages = [{"role": "user", "content": "x"}]
         body = json.dumps({"model": "planner", "messages": messages}).encode()
@@ -207,11 +207,11 @@
     async def _send(
         self,
         caller: GatewayClient,
-        sort: str,
+        category: str,
         method: str,
         path: str,
         body: bytes,
-        is_whole: Check,
+        is_complete: AnswerCheck,
     ) -> None:
         started = time.monotonic()
         try:
@@ -220,15 +220,15 @@
             verdict = "may have run" if error.may_have_run else "not run"
             result = f"no answer: {verdict}"
         else:
-            result = _judge(reply, is_whole)
+            result = _describe_result(reply, is_complete)
         seconds = time.monotonic() - started
-        outcome = Outcome(sort=sort, result=result, seconds=seconds)
+        outcome = Outcome(category=category, result=result, seconds=seconds)
         self.outcomes.append(outcome)
 
 
-def _judge(reply: GatewayReply, is_whole: Check) -> str:
+def _describe_result(reply: GatewayReply, is_complete: AnswerCheck) -> str:
     if reply.ok:
-        return "whole answer" if is_whole(reply) else "WRONG ANSWER"
+        return "whole answer" if is_complete(reply) else "WRONG ANSWER"
     error = json.loads(reply.body)["error"]
     return f"refused: {error['code']}, {error['verdict']}"
 
@@ -248,28 +248,28 @@
 
 
 def print_table(outcomes: list[Outcome]) -> None:
-    """Print how many requests of each sort ended how, and how fast."""
+    """Print the count and median latency by category and result."""
     groups = collections.defaultdict(list)
     for outcome in outcomes:
-        groups[(outcome.sort, outcome.result)].append(outcome.seconds)
+        groups[(outcome.category, outcome.result)].append(outcome.seconds)
     print(f"{'REQUEST':50}{'RESULT':34}{'COUNT':>6}{'MEDIAN s':>10}")
-    for (sort, result), seconds in sorted(groups.items()):
+    for (category, result), seconds in sorted(groups.items()):
         median = sorted(seconds)[len(seconds) // 2]
-        print(f"{sort:50}{result:34}{len(seconds):6}{median:10.3f}")
+        print(f"{category:50}{result:34}{len(seconds):6}{median:10.3f}")
 
 
 async def _main() -> int:
     async with Cluster(vms=VMS, endpoints=ENDPOINTS) as cluster:
-        demonstration = Demonstration(cluster)
-        await demonstration.run()
-        print_table(demonstration.outcomes)
-        wrong = [
+        demo = Demo(cluster)
+        await demo.run()
+        print_table(demo.outcomes)
+        unexpected = [
             outcome
-            for outcome in demonstration.outcomes
+            for outcome in demo.outcomes
             if outcome.result != "whole answer"
-            and "residency" not in outcome.sort
+            and "residency" not in outcome.category
         ]
-    return 1 if wrong else 0
+    return 1 if unexpected else 0
 
 
 if __name__ == "__main__":
--- a/scripts/disruptions.py
+++ b/scripts/disruptions.py
@@ -22,13 +22,13 @@
 
 from docopt import docopt
 
-LIMIT_SECONDS = 500
+RUN_TIMEOUT_SECONDS = 500
 START_SECONDS = 6.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Disruption:
-    """One entry of a day: its kind, and the fields that vary it."""
+    """One entry of a day: its kind and its other fields."""
 
     kind: str
     fields: str = ""
@@ -39,8 +39,8 @@
     def name(self) -> str:
         """Return a name for the day."""
         words = re.findall(r'"([^"]*)"|([\w.]+)', self.fields)
-        shown = [first or second for first, second in words]
-        return " ".join([self.kind, *shown])
+        values = [first or second for first, second in words]
+        return " ".join([self.kind, *values])
 
     def day(self) -> str:
         """Return the day as TOML."""
@@ -175,80 +175,83 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Played:
-    """What the bench said of a day."""
+class DayResult:
+    """The bench's result of a day."""
 
     disruption: Disruption
     worth: str = ""
     served: str = ""
-    broken: str = ""
+    violations: str = ""
     problem: str = ""
 
     def row(self) -> str:
         """Return a row of the table."""
-        kept = self.broken or self.problem or "kept"
-        cells = [self.disruption.name, self.served, self.worth, kept]
+        rules = self.violations or self.problem or "kept"
+        cells = [self.disruption.name, self.served, self.worth, rules]
         return "| " + " | ".join(cells) + " |"
 
 
-def play(program: str, site: str, disruption: Disruption) -> Played:
-    """Play the day of one disruption."""
+def run_day(program: str, site: str, disruption: Disruption) -> DayResult:
+    """Run the bench on the day of one disruption."""
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
         file.write(f'name = "alone"\nseed = 7\n{disruption.day()}')
         file.flush()
         command = [program, "run", site, file.name]
         command += ["--why", f"alone: {disruption.name}"]
         try:
-            done = subprocess.run(
+            completed = subprocess.run(
                 command,
                 capture_output=True,
                 text=True,
-                timeout=LIMIT_SECONDS,
+                timeout=RUN_TIMEOUT_SECONDS,
             )
         except subprocess.TimeoutExpired:
-            return Played(disruption=disruption, problem="gave no result")
-    return _read(disruption, done.stdout + done.stderr)
+            return DayResult(disruption=disruption, problem="gave no result")
+    return _parse_result(disruption, completed.stdout + completed.stderr)
 
 
-def _read(disruption: Disruption, text: str) -> Played:
-    found = re.search(
+def _parse_result(disruption: Disruption, text: str) -> DayResult:
+    match = re.search(
         r"^alone\s+\S+\s+\S+\s+(\S+)\s+(\S+)\s+.*$", text, re.MULTILINE
     )
-    if found is None:
+    if match is None:
         last = (text.strip().splitlines() or [""])[-1]
-        return Played(disruption=disruption, problem=f"not played: {last}")
-    broken = re.search(r"BROKEN: (.*?)(\(else|$)", found.group(0))
-    return Played(
+        return DayResult(disruption=disruption, problem=f"not played: {last}")
+    violations = re.search(r"BROKEN: (.*?)(\(else|$)", match.group(0))
+    return DayResult(
         disruption=disruption,
-        worth=found.group(1),
-        served=found.group(2),
-        broken=f"broken: {broken.group(1).strip()}" if broken else "",
+        worth=match.group(1),
+        served=match.group(2),
+        violations=f"broken: {violations.group(1).strip()}"
+        if violations
+        else "",
     )
 
 
 def main() -> int:
-    """Play the days and print the table.
+    """Run all selected days and print the table.
 
-    :returns: 1 if a rule was broken
+    :returns: 1 if a rule was violated
     """
     arguments = docopt(__doc__)
     chosen = [d for d in DISRUPTIONS if arguments["--only"] in d.name]
     lines = ["| alone | served | worth | rules |", "| --- | --- | --- | --- |"]
     print("\n".join(lines))
-    broken = 0
+    violations = 0
     jobs = int(arguments["--jobs"])
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
-        played = pool.map(
-            lambda d: play(arguments["PROGRAM"], arguments["SITE"], d), chosen
+        results = pool.map(
+            lambda d: run_day(arguments["PROGRAM"], arguments["SITE"], d),
+            chosen,
         )
-        for result in played:
-            broken += bool(result.broken)
+        for result in results:
+            violations += bool(result.violations)
             lines.append(result.row())
             print(lines[-1], flush=True)
     if arguments["--markdown"]:
         path = pathlib.Path(arguments["--markdown"])
         path.write_text("\n".join(lines) + "\n")
-    return 1 if broken else 0
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/scripts/failed_requests.py
+++ b/scripts/failed_requests.py
@@ -25,13 +25,17 @@
 
 REFUSED = "refused-under-load"
 LOST = "lost-with-its-endpoint"
-MISPLACED = "route-gone-after-change"
+UNROUTED = "route-gone-after-change"
 _SLOTS = 1
-_FLOOD = 40
+_FLOOD_REQUESTS = 40
 
 
-class Runner:
-    """An endpoint that answers slowly, or at once, or crashes if told to."""
+class SlowEndpoint:
+    """An endpoint that answers after a delay.
+
+    A request for ``/now`` is answered at once; one for ``/crash`` aborts the
+    connection.
+    """
 
     def __init__(self) -> None:
         """Create an endpoint that is not open."""
@@ -55,7 +59,7 @@
         with contextlib.suppress(asyncio.IncompleteReadError, OSError):
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
-                fields = _fields(head)
+                fields = _parse_headers(head)
                 length = int(fields.get(b"content-length", b"0"))
                 await reader.readexactly(length)
                 if b"/crash" in head:
@@ -70,20 +74,20 @@
                 )
 
 
-def _fields(head: bytes) -> dict[bytes, bytes]:
+def _parse_headers(head: bytes) -> dict[bytes, bytes]:
     pairs = [line.partition(b":") for line in head.split(b"\r\n")[1:]]
     return {name.lower(): value.strip() for name, _, value in pairs}
 
 
-class Scene:
-    """A deployment with one endpoint."""
+class Scenario:
+    """A deployment with one registered endpoint."""
 
     def __init__(self) -> None:
-        """Create it; ``open`` starts the processes."""
+        """Create a deployment that is not started."""
         self.deployment = Deployment()
-        self.runner = Runner()
+        self.endpoint = SlowEndpoint()
         self._sequence = 0
-        self._checking_in: asyncio.Task | None = None
+        self._registering: asyncio.Task | None = None
 
     @property
     def entry(self) -> Machine:
@@ -96,23 +100,23 @@
         return self.deployment.machines
 
     async def open(self) -> None:
-        """Start everything and wait until it serves."""
-        await self.runner.open()
+        """Start all processes and wait until requests are answered."""
+        await self.endpoint.open()
         await self.deployment.start()
-        self._checking_in = asyncio.create_task(self._check_in())
+        self._registering = asyncio.create_task(self._register_endpoint())
         await until(lambda: self.put_routes(1, "/fetch/"), 20)
         await self.deployment.until_ready()
-        await until(self._is_served)
+        await until(self._serves)
 
     async def close(self) -> None:
-        """End everything that was started."""
-        if self._checking_in is not None:
-            self._checking_in.cancel()
+        """Stop all processes."""
+        if self._registering is not None:
+            self._registering.cancel()
         await self.deployment.stop()
-        self.runner.close()
+        self.endpoint.close()
 
     async def put_routes(self, version: int, prefix: str) -> bool:
-        """Bring a table with one route into force."""
+        """Apply a configuration with one route."""
         document = {
             "version": version,
             "routes": [
@@ -138,30 +142,32 @@
         )
         return status == 200
 
-    async def ask(self, request_id: str, path: str = "/fetch/x") -> int:
-        """Send a request and return the status of its answer."""
+    async def send_request(
+        self, request_id: str, path: str = "/fetch/x"
+    ) -> int:
+        """Send a request and return the status of its response."""
         headers = ("Host: h", f"X-Request-Id: {request_id}")
         status, _ = await call(
             self.entry.ip, CALLERS_PORT, "POST", path, b"q", headers
         )
         return status
 
-    def keep_logs(self, folder: pathlib.Path) -> None:
-        """Copy what the processes wrote."""
+    def copy_logs(self, folder: pathlib.Path) -> None:
+        """Copy the logs of all processes."""
         folder.mkdir(parents=True, exist_ok=True)
         for machine in self.deployment.machines:
             source = machine.folder / "output"
             shutil.copyfile(source, folder / f"{machine.name}.log")
 
-    async def _is_served(self) -> bool:
-        return await self.ask("warm-up") == 200
+    async def _serves(self) -> bool:
+        return await self.send_request("warm-up") == 200
 
-    async def _check_in(self) -> None:
+    async def _register_endpoint(self) -> None:
         while True:
             self._sequence += 1
-            said = {
+            registration = {
                 "service": "s",
-                "addr": self.runner.address,
+                "addr": self.endpoint.address,
                 "zone": "a",
                 "slots": _SLOTS,
                 "state": "ready",
@@ -173,41 +179,43 @@
                 CONTROL_PORT,
                 "PUT",
                 "/v1/instances/endpoint-1",
-                json.dumps(said).encode(),
+                json.dumps(registration).encode(),
             )
             await asyncio.sleep(0.4)
 
 
-async def _fail_three_ways(folder: pathlib.Path) -> dict[str, int]:
-    scene = Scene()
+async def _produce_failures(folder: pathlib.Path) -> dict[str, int]:
+    scenario = Scenario()
     try:
-        await scene.open()
+        await scenario.open()
         flood = [
-            asyncio.create_task(scene.ask(f"flood-{number}"))
-            for number in range(_FLOOD)
+            asyncio.create_task(scenario.send_request(f"flood-{number}"))
+            for number in range(_FLOOD_REQUESTS)
         ]
         await asyncio.sleep(0.3)
-        statuses = {REFUSED: await scene.ask(REFUSED)}
+        statuses = {REFUSED: await scenario.send_request(REFUSED)}
         await asyncio.gather(*flood)
-        statuses[LOST] = await scene.ask(LOST, "/fetch/crash")
-        await scene.put_routes(2, "/get/")
+        statuses[LOST] = await scenario.send_request(LOST, "/fetch/crash")
+        await scenario.put_routes(2, "/get/")
         await asyncio.sleep(1.0)
-        statuses[MISPLACED] = await scene.ask(MISPLACED)
-        # Lines wait for a quarter of a second before they are written.
+        statuses[UNROUTED] = await scenario.send_request(UNROUTED)
+        # Log lines are buffered for 0.25 s.
         await asyncio.sleep(0.5)
-        scene.keep_logs(folder)
+        scenario.copy_logs(folder)
         return statuses
     finally:
-        await scene.close()
+        await scenario.close()
 
 
 def main() -> int:
-    """Run the scene and print what each caller got.
+    """Run the scenario and print the status of each failed request.
 
     :returns: 0
     """
     arguments = docopt(__doc__)
-    statuses = asyncio.run(_fail_three_ways(pathlib.Path(arguments["FOLDER"])))
+    statuses = asyncio.run(
+        _produce_failures(pathlib.Path(arguments["FOLDER"]))
+    )
     for request_id, status in statuses.items():
         print(f"{request_id}  status {status}")
     return 0
--- a/scripts/histories.py
+++ b/scripts/histories.py
@@ -39,19 +39,21 @@
 
 
 def print_violations(history: History) -> bool:
-    """Print what was violated; say whether anything was."""
+    """Print the violated conditions; return whether there are any."""
     violations = check_all(history)
     for name, lines in violations.items():
         print(f"  VIOLATED {name}: {len(lines)}, such as {lines[0]}")
     return bool(violations)
 
 
-def run_one(seed: int, text: str | None) -> int:
-    """Run one seed and print its endings.
+def run_one(seed: int, plan_text: str | None) -> int:
+    """Run one seed and print the results of its requests.
 
     :returns: 1 if a condition was violated
     """
-    plan = decode_plan(text) if text else draw_plan(_rng(seed), REGIONS)
+    plan = (
+        decode_plan(plan_text) if plan_text else draw_plan(_rng(seed), REGIONS)
+    )
     for planned in plan:
         print(
             f"  {planned.start:5.1f} s for {planned.seconds} s: "
@@ -68,20 +70,20 @@
 
 
 def run_many(first: int, last: int, seconds: float) -> int:
-    """Run a range of seeds within a time.
+    """Run a range of seeds within a time limit.
 
-    :returns: 1 if any violated a condition
+    :returns: 1 if a condition was violated
     """
-    until = time.monotonic() + seconds
-    bad = done = 0
+    deadline = time.monotonic() + seconds
+    bad = completed = 0
     for seed in range(first, last + 1):
-        if time.monotonic() > until:
+        if time.monotonic() > deadline:
             break
-        done += 1
+        completed += 1
         if print_violations(run_seed(seed, draw_plan(_rng(seed), REGIONS))):
             bad += 1
             print(f"  replay: python -m scripts.histories --seed {seed}")
-    print(f"{done} histories from seed {first}, {bad} with a violation")
+    print(f"{completed} histories from seed {first}, {bad} with a violation")
     return 1 if bad else 0
 
 
--- a/scripts/local_deployment.py
+++ b/scripts/local_deployment.py
@@ -14,18 +14,18 @@
 from typing import Any
 
 ROOT = pathlib.Path(__file__).parents[1]
-PROGRAM = ROOT / "platform" / "vm.py"
+VM_PROGRAM = ROOT / "platform" / "vm.py"
 CONTROL_PORT = 18146
 CALLERS_PORT = 18144
 READY_PORT = 18140
 DIRECTORY_PORT = 18143
-INNER_PORTS = (17660, 17675)
-STOP_SECONDS = 10
-NETWORKS = 250
+INTERNAL_PORT_RANGE = (17660, 17675)
+STOP_TIMEOUT_SECONDS = 10
+LOOPBACK_NETWORKS = 250
 
 
 class Machine:
-    """One process, its settings file and what it wrote."""
+    """One process with its settings file and its log."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         is_control: bool,
         deployment: "Deployment",
     ) -> None:
-        """Create a machine that is not started."""
+        """Create a process that is not started."""
         self.name = name
         self.ip = ip
         self.zone = zone
@@ -47,10 +47,10 @@
         self.process: asyncio.subprocess.Process | None = None
         self.settings = self.folder / "node.toml"
         self.first_start = True
-        self.is_ending = False
+        self.is_stopping = False
 
     def write_settings(self, **changes: Any) -> None:
-        """Write the settings file as the platform does."""
+        """Write the settings file in the format of the platform."""
         listen = (
             {
                 "control": f"{self.ip}:{CONTROL_PORT}",
@@ -68,7 +68,7 @@
             "ip": self.ip,
             "zone": self.zone,
             "region": self.zone,
-            "internal_port_range": list(INNER_PORTS),
+            "internal_port_range": list(INTERNAL_PORT_RANGE),
             "seeds": self.deployment.seeds,
             "first_start": self.first_start,
             **changes,
@@ -94,7 +94,7 @@
         log = (self.folder / "output").open("ab")
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
-            str(PROGRAM),
+            str(VM_PROGRAM),
             env={**os.environ, "BURDOCKDRUM_BOOT": str(self.settings)},
             stdout=log,
             stderr=log,
@@ -107,26 +107,26 @@
         self.process.send_signal(number)
 
     async def stop(self, number: int = signal.SIGKILL) -> int | None:
-        """End the process; return its exit code."""
+        """Stop the process; return its exit code."""
         if self.process is None:
             return None
         if self.process.returncode is None:
-            self.is_ending = True
+            self.is_stopping = True
             self.process.send_signal(number)
-        return await self.wait_until_ended()
+        return await self.wait_until_exited()
 
-    async def wait_until_ended(self) -> int | None:
-        """Wait for a process that was told to end; return its exit code."""
+    async def wait_until_exited(self) -> int | None:
+        """Wait for a stopping process; return its exit code."""
         if self.process is None:
             return None
-        async with asyncio.timeout(STOP_SECONDS):
+        async with asyncio.timeout(STOP_TIMEOUT_SECONDS):
             code = await self.process.wait()
         self.process = None
-        self.is_ending = False
+        self.is_stopping = False
         return code
 
     def log(self) -> list[dict]:
-        """Return the lines that the process wrote."""
+        """Return the parsed JSON lines of the log."""
         text = (self.folder / "output").read_text()
         lines = [line for line in text.splitlines() if line.startswith("{")]
         return [json.loads(line) for line in lines]
@@ -137,17 +137,17 @@
 
 
 class Deployment:
-    """Control machines and entries in some zones, one region each."""
+    """Control and entry processes in some zones, one region each."""
 
     def __init__(
         self, *, zones: tuple[str, ...] = ("a", "b", "c"), entries: int = 1
     ) -> None:
-        """Create machines that are not started."""
-        self._temporary = tempfile.TemporaryDirectory()
-        self.folder = pathlib.Path(self._temporary.name)
+        """Create processes that are not started."""
+        self._temporary_folder = tempfile.TemporaryDirectory()
+        self.folder = pathlib.Path(self._temporary_folder.name)
         self.zones = zones
-        # Runs beside each other keep apart by their loopback networks.
-        network = f"127.{1 + os.getpid() % NETWORKS}"
+        # Concurrent runs use separate loopback networks.
+        network = f"127.{1 + os.getpid() % LOOPBACK_NETWORKS}"
         self.seeds = [
             f"{network}.{n + 1}.1:{CONTROL_PORT}" for n in range(len(zones))
         ]
@@ -176,45 +176,48 @@
 
     @property
     def machines(self) -> list[Machine]:
-        """Return all machines."""
+        """Return all processes."""
         return [*self.control, *self.entries]
 
     async def start(self) -> None:
-        """Start every machine."""
+        """Start all processes."""
         for machine in self.machines:
             await machine.start()
 
     async def stop(self) -> None:
-        """End every process that was started here."""
+        """Stop all processes."""
         for machine in self.machines:
             await machine.stop()
-        self._temporary.cleanup()
+        self._temporary_folder.cleanup()
 
     async def until_ready(
         self, machines: list[Machine] | None = None, seconds: float = 15
     ) -> None:
-        """Wait until entries say that they are ready."""
+        """Wait until entries report that they are ready."""
         for machine in machines or self.entries:
             await until(functools.partial(is_ready, machine), seconds)
 
 
 async def is_ready(machine: Machine) -> bool:
-    """Say whether an entry is ready."""
+    """Return whether an entry is ready."""
     return (await call(machine.ip, READY_PORT, "GET", "/v1/ready"))[0] == 200
 
 
 async def until(
     check: Callable[[], Awaitable[Any]], seconds: float = 10.0
 ) -> Any:
-    """Wait until a coroutine function returns something true."""
+    """Poll a coroutine function until its result is true.
+
+    :raises AssertionError: if it is not in time
+    """
     loop = asyncio.get_running_loop()
-    end = loop.time() + seconds
+    deadline = loop.time() + seconds
     while True:
         found = await check()
         if found:
             return found
-        if loop.time() > end:
-            raise AssertionError("waited in vain")
+        if loop.time() > deadline:
+            raise AssertionError(f"condition not met within {seconds} s")
         await asyncio.sleep(0.1)
 
 
@@ -226,7 +229,7 @@
     body: bytes = b"",
     headers: Iterable[str] = (),
 ) -> tuple[int, bytes]:
-    """Make a call on a connection of its own; status 0 if there is none."""
+    """Send a request on a new connection; status 0 if it fails."""
     try:
         async with asyncio.timeout(3):
             reader, writer = await asyncio.open_connection(ip, port)
--- a/scripts/real_faults.py
+++ b/scripts/real_faults.py
@@ -49,16 +49,16 @@
     for region in REGIONS
     for i in (1, 2)
 ]
-DOWN_SECONDS = 2.0
+DOWNTIME_SECONDS = 2.0
 
 
 async def kill(cluster: Cluster, load: RealLoad, vm_id: str) -> None:
-    """Kill a VM and start it again."""
+    """Kill a VM and restart it."""
     start = load.now()
     print(f"{start:6.1f} s kill -9 {vm_id}")
     await cluster.stop(vm_id, kill=True)
-    await asyncio.sleep(DOWN_SECONDS)
-    await cluster.start_vm(_plan(vm_id))
+    await asyncio.sleep(DOWNTIME_SECONDS)
+    await cluster.start_vm(_find_plan(vm_id))
     load.history.faults.append(
         FaultSpan(
             start=start,
@@ -70,7 +70,7 @@
 
 
 async def drain(cluster: Cluster, load: RealLoad, vm_id: str) -> None:
-    """End a VM with SIGTERM and start it again."""
+    """Stop a VM with SIGTERM and restart it."""
     start = load.now()
     print(f"{start:6.1f} s SIGTERM {vm_id}")
     code = await cluster.stop(vm_id)
@@ -78,18 +78,18 @@
     print(f"{end:6.1f} s {vm_id} exited with {code}")
     load.history.drained.append(Drained(time=start, until=end, vm_id=vm_id))
     if code != 0:
-        load.troubles.append(f"{vm_id} exited with {code} after its drain")
-    await cluster.start_vm(_plan(vm_id))
+        load.problems.append(f"{vm_id} exited with {code} after its drain")
+    await cluster.start_vm(_find_plan(vm_id))
 
 
-def _plan(vm_id: str) -> VmPlan:
+def _find_plan(vm_id: str) -> VmPlan:
     return next(plan for plan in VMS if plan.vm_id == vm_id)
 
 
 async def run(seconds: float, seed: int) -> int:
-    """Run the load with the faults and print the verdicts.
+    """Run the load with faults and print the results.
 
-    :returns: 0 when every condition held
+    :returns: 0 if no condition was violated
     """
     booking = BookingService()
     async with Cluster(vms=VMS, endpoints=ENDPOINTS) as cluster, booking:
@@ -110,15 +110,15 @@
     violations = check_all(load.history)
     for name, lines in violations.items():
         print(f"VIOLATED {name}: {len(lines)}, such as {lines[0]}")
-    for trouble in load.troubles:
-        print(f"TROUBLE {trouble}")
-    if not violations and not load.troubles:
+    for problem in load.problems:
+        print(f"TROUBLE {problem}")
+    if not violations and not load.problems:
         print("every condition held")
-    return 1 if violations or load.troubles else 0
+    return 1 if violations or load.problems else 0
 
 
 def print_results(load: RealLoad) -> None:
-    """Print how many requests ended how."""
+    """Print the number of requests by kind and result."""
     counts: collections.Counter[tuple[str, str, str]] = collections.Counter()
     sort_by_number = {sent.number: sent.sort for sent in load.history.sent}
     for ended in load.history.ended:
--- a/scripts/real_load.py
+++ b/scripts/real_load.py
@@ -35,19 +35,19 @@
 from scripts.cluster import Cluster
 
 CALLERS = 12
-TOKENS = (5, 20, 60)
-SET_UP_SECONDS = 30.0
-SETTLE_SECONDS = 4.0
-SAMPLE_SECONDS = 0.5
-MAX_SENDINGS = 4
+TOKEN_COUNTS = (5, 20, 60)
+SET_UP_TIMEOUT_SECONDS = 30.0
+SETTLE_DELAY_SECONDS = 4.0
+SAMPLE_INTERVAL_SECONDS = 0.5
+MAX_SEND_ATTEMPTS = 4
 BOOKING_SLOTS = 64
 
 
 class BookingService:
-    """A plain service in this process that counts each run by its key."""
+    """A plain service in this process that records the key of each run."""
 
     def __init__(self) -> None:
-        """Create a service that has run nothing."""
+        """Create a service that is not started."""
         self.runs: list[tuple[float, str]] = []
         application = Application(router=Router())
 
@@ -71,7 +71,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def announce(self, *, region: str, entries: list[str], token: str) -> None:
-        """Offer this service to the entry VMs of a region."""
+        """Register this service at the entry VMs of a region."""
         announcer = Announcer(
             http=PooledHttpClient(),
             clock=SystemClock(),
@@ -97,14 +97,14 @@
 
 
 class RealLoad:
-    """Closed-loop callers at all entry VMs, recorded as a history."""
+    """Closed-loop callers at all entry VMs that record a history."""
 
     def __init__(
         self, *, cluster: Cluster, booking: BookingService, rng: random.Random
     ) -> None:
-        """Create a load that has not begun."""
+        """Create a load that is not started."""
         self.history = History()
-        self.troubles: list[str] = []
+        self.problems: list[str] = []
         self._cluster = cluster
         self._booking = booking
         self._rng = rng
@@ -147,11 +147,11 @@
             await self._put("client", client_id, spec)
             residencies = self.history.residency_by_client
             residencies[client_id] = frozenset(regions)
-        await asyncio.sleep(SETTLE_SECONDS)
-        self._sampling = asyncio.create_task(self._sample())
+        await asyncio.sleep(SETTLE_DELAY_SECONDS)
+        self._sampling = asyncio.create_task(self._sample_revisions())
 
     async def send_for(self, seconds: float) -> None:
-        """Keep every caller sending for so many seconds."""
+        """Let all callers send requests for a duration in seconds."""
         end = time.monotonic() + seconds
         async with asyncio.TaskGroup() as group:
             for _ in range(CALLERS):
@@ -159,8 +159,8 @@
                 group.create_task(self._send_until(end, rng))
 
     async def finish(self) -> None:
-        """Let everything settle and take in what the endpoints saw."""
-        await asyncio.sleep(SETTLE_SECONDS)
+        """Wait for pending work and record the runs of the service."""
+        await asyncio.sleep(SETTLE_DELAY_SECONDS)
         if self._sampling is not None:
             self._sampling.cancel()
         self.history.ended_at = self.now()
@@ -198,7 +198,7 @@
                     token=self._tokens_by_client[client_id],
                     entry=entry,
                     sort=sort,
-                    tokens=rng.choice(TOKENS),
+                    tokens=rng.choice(TOKEN_COUNTS),
                 )
             await asyncio.sleep(rng.uniform(0, 0.1))
         await http.close()
@@ -211,7 +211,7 @@
         rng: random.Random,
     ) -> None:
         key = f"key-{next(self._numbers)}"
-        for _ in range(MAX_SENDINGS):
+        for _ in range(MAX_SEND_ATTEMPTS):
             ended = await caller.book(
                 client_id=client_id,
                 token=self._tokens_by_client[client_id],
@@ -225,23 +225,23 @@
 
     async def _put(self, kind: str, name: str, spec: dict) -> None:
         body = {"spec": spec, "change_id": f"set-up-{kind}-{name}"}
-        limit = time.monotonic() + SET_UP_SECONDS
+        deadline = time.monotonic() + SET_UP_TIMEOUT_SECONDS
         while True:
             path = f"/v1/resources/{kind}/{name}"
             encoded = msgspec.json.encode(body)
             try:
                 reply = await self._operator.call("PUT", path, body=encoded)
-                trouble = reply.body.decode()
+                error_text = reply.body.decode()
             except ClientError as error:
-                trouble = str(error)
+                error_text = str(error)
             else:
                 if reply.ok:
                     return
-            if time.monotonic() > limit:
-                raise SystemExit(f"{kind} {name}: {trouble}")
+            if time.monotonic() > deadline:
+                raise SystemExit(f"{kind} {name}: {error_text}")
             await asyncio.sleep(0.3)
 
-    async def _sample(self) -> None:
+    async def _sample_revisions(self) -> None:
         while True:
             for vm_id, url in self._cluster.entry_urls_by_vm_id.items():
                 try:
@@ -260,4 +260,4 @@
                         revision=status["revision"],
                     )
                 )
-            await asyncio.sleep(SAMPLE_SECONDS)
+            await asyncio.sleep(SAMPLE_INTERVAL_SECONDS)
--- a/scripts/run_tests.py
+++ b/scripts/run_tests.py
@@ -23,36 +23,36 @@
 from loguru import logger
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-KNOWN_RED = ROOT / "KNOWN-RED.txt"
+KNOWN_FAILURES_FILE = ROOT / "KNOWN-RED.txt"
 MAX_PROCESSES = 6
-SLOWEST = 5
+SLOWEST_COUNT = 5
 
 
 @dataclass(frozen=True, kw_only=True)
 class ModuleResult:
-    """What came of the tests of one module."""
+    """The results of the tests of one module."""
 
     output: str
     failed: frozenset[str]
     seconds_by_test: dict[str, float]
 
 
-def read_known_red() -> dict[str, str]:
-    """Read the tests that fail for a known fault.
+def read_known_failures() -> dict[str, str]:
+    """Read the list of tests with known failures.
 
-    :returns: the whole line of each, by the test's dotted name
+    :returns: the line of each test, by its dotted name
     """
     lines_by_test: dict[str, str] = {}
-    for line in KNOWN_RED.read_text().splitlines():
+    for line in KNOWN_FAILURES_FILE.read_text().splitlines():
         if line.strip() and not line.startswith("#"):
             lines_by_test[line.split("|")[0].strip()] = line
     return lines_by_test
 
 
 def find_tests(patterns: list[str]) -> dict[str, list[str]]:
-    """Return the names of the tests that have a pattern, by module.
+    """Return the names of the tests that match a pattern, by module.
 
-    :param patterns: parts of dotted names; none means every test
+    :param patterns: substrings of dotted names; empty for all tests
     """
     loader = unittest.TestLoader()
     found = loader.discover(str(ROOT / "tests"), top_level_dir=str(ROOT))
@@ -61,7 +61,7 @@
     names_by_module: dict[str, list[str]] = {}
     for test in flatten(found):
         if not patterns or any(part in test.id() for part in patterns):
-            # A module that can't be imported is a test of its own.
+            # The loader represents an import error as a failing test.
             module = type(test).__module__
             names_by_module.setdefault(module, []).append(test.id())
     return names_by_module
@@ -79,7 +79,7 @@
 
 
 class TimedResult(unittest.TextTestResult):
-    """A test result that remembers how long each test took."""
+    """A test result that records the duration of each test."""
 
     def __init__(self, *arguments: object, **options: object) -> None:
         super().__init__(*arguments, **options)  # type: ignore[arg-type]
@@ -87,12 +87,12 @@
         self._started = 0.0
 
     def startTest(self, test: unittest.TestCase) -> None:
-        """Note when a test starts."""
+        """Record the start time of a test."""
         self._started = time.perf_counter()
         super().startTest(test)
 
     def stopTest(self, test: unittest.TestCase) -> None:
-        """Note how long a test took."""
+        """Record the duration of a test."""
         self.seconds_by_test[test.id()] = time.perf_counter() - self._started
         super().stopTest(test)
 
@@ -107,8 +107,8 @@
     )
     result = runner.run(suite)
     assert isinstance(result, TimedResult)
-    troubled = [*result.failures, *result.errors]
-    failed = {test.id().split(" ")[0] for test, _ in troubled}
+    unsuccessful = [*result.failures, *result.errors]
+    failed = {test.id().split(" ")[0] for test, _ in unsuccessful}
     failed |= {test.id() for test in result.unexpectedSuccesses}
     return ModuleResult(
         output=stream.getvalue() if failed else "",
@@ -117,8 +117,8 @@
     )
 
 
-def run_all(names_by_module: dict[str, list[str]]) -> list[ModuleResult]:
-    """Run the modules side by side; the results are in their order."""
+def run_modules(names_by_module: dict[str, list[str]]) -> list[ModuleResult]:
+    """Run the modules in parallel; return the results in order."""
     processes = min(MAX_PROCESSES, os.cpu_count() or 1)
     with concurrent.futures.ProcessPoolExecutor(
         processes,
@@ -129,27 +129,27 @@
 
 
 def main() -> int:
-    """Run the chosen tests.
+    """Run the selected tests.
 
-    :returns: 0 when every test not known to fail has passed
+    :returns: 0 if all tests without a known failure passed
     """
-    known_red = read_known_red()
-    results = run_all(find_tests(sys.argv[1:]))
+    known_failures = read_known_failures()
+    results = run_modules(find_tests(sys.argv[1:]))
     for result in results:
         print(result.output, end="")
     failed = set(itertools.chain(*(r.failed for r in results)))
     seconds_by_test: dict[str, float] = {}
     for result in results:
         seconds_by_test |= result.seconds_by_test
-    for name in sorted(failed & set(known_red)):
-        print(f"known red: {known_red[name]}")
-    stale = (set(seconds_by_test) & set(known_red)) - failed
+    for name in sorted(failed & set(known_failures)):
+        print(f"known red: {known_failures[name]}")
+    stale = (set(seconds_by_test) & set(known_failures)) - failed
     for name in sorted(stale):
         print(f"passes, but KNOWN-RED.txt names it: {name}")
     slowest = sorted(seconds_by_test.items(), key=lambda item: -item[1])
-    for name, seconds in slowest[:SLOWEST]:
+    for name, seconds in slowest[:SLOWEST_COUNT]:
         print(f"slow: {seconds:6.2f} s {name}")
-    unexpected = failed - set(known_red)
+    unexpected = failed - set(known_failures)
     passed = len(seconds_by_test) - len(failed)
     print(f"{passed} passed, {len(unexpected)} failed")
     return 1 if unexpected or stale or not seconds_by_test else 0
--- a/scripts/soak/__init__.py
+++ b/scripts/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak of real processes with faults from outside them."""
+"""A randomized soak test of real processes with fault injection."""
--- a/scripts/soak/__main__.py
+++ b/scripts/soak/__main__.py
@@ -24,13 +24,13 @@
 
 from docopt import docopt
 
-from scripts.soak.scene import run_seed
+from scripts.soak.run import run_seed
 
 
 def main() -> int:
-    """Run seeds one after the other.
+    """Run the seeds in sequence.
 
-    :returns: 1 if a promise was broken
+    :returns: 1 if an invariant was violated
     """
     arguments = docopt(__doc__)
     first = int(arguments["--seed"])
@@ -44,10 +44,10 @@
                 logs=logs if arguments["--keep"] else None,
             )
         )
-        if not result.broken and arguments["--keep"]:
+        if not result.violations and arguments["--keep"]:
             shutil.rmtree(logs, ignore_errors=True)
-        failed += bool(result.broken)
-        print(result.show(), flush=True)
+        failed += bool(result.violations)
+        print(result.format_result(), flush=True)
     return 1 if failed else 0
 
 
--- a/scripts/soak/endpoint.py
+++ b/scripts/soak/endpoint.py
@@ -1,4 +1,4 @@
-"""A stand-in for an endpoint, and a proxy in front of it that misbehaves."""
+"""A simulated endpoint and a proxy that injects faults in front of it."""
 
 import asyncio
 import contextlib
@@ -9,10 +9,9 @@
 
 
 class Endpoint:
-    """Answer requests and count how often each has run.
+    """Answers requests and counts the runs of each.
 
-    A request's path says what may be done with it: ``/once/`` must not run
-    twice, ``/again/`` may.
+    A request under ``/once/`` must not run twice; one under ``/again/`` may.
     """
 
     def __init__(self, *, rng: random.Random) -> None:
@@ -40,8 +39,8 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._writers.add(writer)
-        # Whoever drops a connection is one of the faults; at the end of a
-        # seed the connections that are still open are cancelled.
+        # Injected faults drop connections; the end of a seed cancels the
+        # tasks of those that are still open.
         with contextlib.suppress(
             asyncio.CancelledError, asyncio.IncompleteReadError, OSError
         ):
@@ -54,10 +53,10 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         head = await reader.readuntil(b"\r\n\r\n")
-        fields = read_fields(head)
-        length = int(fields.get(b"content-length", b"0"))
+        headers = parse_headers(head)
+        length = int(headers.get(b"content-length", b"0"))
         body = await reader.readexactly(length)
-        request_id = fields[b"x-request-id"].decode()
+        request_id = headers[b"x-request-id"].decode()
         self.runs_by_id[request_id] = self.runs_by_id.get(request_id, 0) + 1
         await asyncio.sleep(self._rng.uniform(0.001, 0.05))
         answer = request_id.encode() + b":" + body
@@ -69,24 +68,24 @@
         )
 
 
-def read_fields(head: bytes) -> dict[bytes, bytes]:
-    """Return the headers of a raw head, names in lower case."""
+def parse_headers(head: bytes) -> dict[bytes, bytes]:
+    """Return the headers of a message head, with names in lower case."""
     pairs = [line.partition(b":") for line in head.split(b"\r\n")[1:]]
     return {name.lower(): value.strip() for name, _, value in pairs}
 
 
 class Fault(enum.Enum):
-    """What a proxy does to the bytes that pass through it."""
+    """A fault of the connections through a proxy."""
 
     NONE = "none"
     DELAY = "delay"
     RESET = "reset"
-    SILENT = "silent"
-    ANSWERS_LOST = "answers lost"
+    UNRESPONSIVE = "silent"
+    RESPONSES_LOST = "answers lost"
 
 
 class Proxy:
-    """Pass connections on to an address, with a fault that can change."""
+    """Forwards connections to an address under a configurable fault."""
 
     def __init__(self, *, rng: random.Random) -> None:
         """Create a proxy that is not open."""
@@ -105,7 +104,7 @@
         self.address = f"{host}:{port}"
 
     def set_fault(self, fault: Fault) -> None:
-        """Change the fault; a reset ends what is open."""
+        """Set the fault; RESET aborts all open connections."""
         self.fault = fault
         if fault is Fault.RESET:
             for writer in list(self._writers):
@@ -127,8 +126,8 @@
             upstream = await asyncio.open_connection(host, int(port))
             self._writers.add(upstream[1])
             await asyncio.gather(
-                self._copy(reader, upstream[1], is_answer=False),
-                self._copy(upstream[0], writer, is_answer=True),
+                self._copy(reader, upstream[1], is_response=False),
+                self._copy(upstream[0], writer, is_response=True),
             )
         writer.transport.abort()
         self._writers.discard(writer)
@@ -138,15 +137,15 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
-        is_answer: bool,
+        is_response: bool,
     ) -> None:
         while data := await reader.read(65536):
             match self.fault:
                 case Fault.DELAY:
                     await asyncio.sleep(self._rng.uniform(0.05, 0.4))
-                case Fault.SILENT:
+                case Fault.UNRESPONSIVE:
                     continue
-                case Fault.ANSWERS_LOST if is_answer:
+                case Fault.RESPONSES_LOST if is_response:
                     writer.transport.abort()
                     return
             writer.write(data)
--- /dev/null
+++ b/scripts/soak/invariants.py
@@ -0,0 +1,81 @@
+"""Invariants between the responses and the runs at the endpoints."""
+
+from dataclasses import dataclass
+
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+
+
+@dataclass(frozen=True, kw_only=True)
+class RequestRecord:
+    """The response that a caller received.
+
+    ``status`` is 0 if the connection ended without a response.
+    """
+
+    request_id: str
+    path: str
+    body: bytes
+    status: int
+    answer: bytes
+    seconds: float
+
+
+class InvariantChecker:
+    """Checks all invariants and collects violations."""
+
+    def __init__(self) -> None:
+        """Create a checker without records."""
+        self.violations: list[str] = []
+        self.counts_by_status: dict[int, int] = {}
+        self.newest_acknowledged = 0
+        self._records: list[RequestRecord] = []
+
+    def record_answer(self, record: RequestRecord) -> None:
+        """Record the response to a request and check its body."""
+        self._records.append(record)
+        count = self.counts_by_status.get(record.status, 0)
+        self.counts_by_status[record.status] = count + 1
+        expected = record.request_id.encode() + b":" + record.body
+        if record.status == 200 and record.answer != expected:
+            self._add_violation(
+                record, f"got the wrong response: {record.answer[:60]!r}"
+            )
+
+    def record_acknowledged(self, version: int) -> None:
+        """Record an acknowledged version of the configuration."""
+        self.newest_acknowledged = max(self.newest_acknowledged, version)
+
+    def record_read(self, version: int, acknowledged_before: int) -> None:
+        """Check a version of the configuration that was read.
+
+        :param acknowledged_before: the newest acknowledged version when the
+            read was sent
+        """
+        if version < acknowledged_before:
+            self.violations.append(
+                f"version {version} was read after {acknowledged_before} had "
+                "been acknowledged"
+            )
+
+    def check_runs(self, runs_by_id: dict[str, int], settled: bool) -> None:
+        """Compare the responses with the runs at the endpoints.
+
+        :param settled: whether no request is in flight any more
+        """
+        for record in self._records:
+            runs = runs_by_id.get(record.request_id, 0)
+            if record.path.startswith("/once/") and runs > 1:
+                self._add_violation(record, f"ran {runs} times")
+            claimed_not_run = record.status in NOT_RUN_STATUSES
+            once = record.path.startswith("/once/")
+            if claimed_not_run and once and runs and settled:
+                self._add_violation(
+                    record, f"got status {record.status} but ran"
+                )
+            if record.status == 200 and not runs:
+                self._add_violation(record, "got status 200 but did not run")
+
+    def _add_violation(self, record: RequestRecord, description: str) -> None:
+        self.violations.append(
+            f"request {record.request_id} ({record.path}) {description}"
+        )
--- a/scripts/soak/scene.py
+++ b/scripts/soak/run.py
@@ -1,4 +1,4 @@
-"""One seed of the soak: load, faults, and the end in which all recovers."""
+"""One seed of the soak test: load, random faults, then recovery."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,48 +21,48 @@
 from scripts.soak.endpoint import Fault
 from scripts.soak.endpoint import Proxy
 from scripts.soak.endpoint import SLOTS
-from scripts.soak.promises import Promises
-from scripts.soak.promises import Told
+from scripts.soak.invariants import InvariantChecker
+from scripts.soak.invariants import RequestRecord
 
 CALLERS = 6
 DEADLINE_MS = 2500
-# Several elections, self-repairs and check-ins.
-RECOVER_SECONDS = 25.0
-SETTLE_SECONDS = 3.0
+# Covers several elections, repairs and registrations.
+RECOVERY_SECONDS = 25.0
+SETTLE_DELAY_SECONDS = 3.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Result:
-    """What became of a seed."""
+    """The result of a seed."""
 
     seed: int
-    broken: list[str]
+    violations: list[str]
     counts_by_status: dict[int, int]
     faults: list[str]
 
-    def show(self) -> str:
-        """Return a line for people, and one for each broken promise."""
+    def format_result(self) -> str:
+        """Return a summary line, then violations and faults if any."""
         counts = ", ".join(
             f"{status or 'none'}: {count}"
             for status, count in sorted(self.counts_by_status.items())
         )
-        verdict = "BROKEN" if self.broken else "held"
+        verdict = "BROKEN" if self.violations else "held"
         head = f"seed {self.seed}: {verdict}; {counts}; "
         lines = [head + f"{len(self.faults)} faults"]
-        if self.broken:
-            lines += [f"  {line}" for line in self.broken[:20]]
+        if self.violations:
+            lines += [f"  {line}" for line in self.violations[:20]]
             lines += [f"  fault: {fault}" for fault in self.faults]
         return "\n".join(lines)
 
 
-class Scene:
-    """A deployment under load."""
+class SoakRun:
+    """A deployment under load and faults."""
 
     def __init__(self, seed: int) -> None:
-        """Create it; nothing runs yet."""
+        """Create a run that is not started."""
         self.rng = random.Random(seed)
         self.deployment = Deployment()
-        self.promises = Promises()
+        self.invariants = InvariantChecker()
         self.faults: list[str] = []
         self.endpoints = [Endpoint(rng=self.rng) for _ in "abc"]
         self.proxies = [Proxy(rng=self.rng) for _ in "abc"]
@@ -73,16 +73,16 @@
         self._down: set[str] = set()
 
     async def open(self) -> None:
-        """Start everything and wait until it serves."""
+        """Start all processes and wait until entries are ready."""
         for endpoint, proxy in zip(self.endpoints, self.proxies, strict=True):
             await endpoint.open()
             await proxy.open(endpoint.address)
         await self.deployment.start()
-        await until(self.change, 25)
+        await until(self.put_configuration, 25)
         await self.deployment.until_ready(seconds=25)
 
     async def close(self) -> None:
-        """End everything that was started."""
+        """Stop all processes, proxies and endpoints."""
         await self.deployment.stop()
         for proxy in self.proxies:
             proxy.close()
@@ -90,19 +90,19 @@
             endpoint.close()
 
     def runs_by_id(self) -> dict[str, int]:
-        """Return how often each request has run, anywhere."""
+        """Return the number of runs of each request at all endpoints."""
         runs: dict[str, int] = {}
         for endpoint in self.endpoints:
             for request_id, count in endpoint.runs_by_id.items():
                 runs[request_id] = runs.get(request_id, 0) + count
         return runs
 
-    async def check_in(self) -> None:
-        """Check every endpoint in, again and again, at a random VM."""
+    async def register_endpoints(self) -> None:
+        """Register each endpoint periodically at a random control VM."""
         while True:
             self._sequence += 1
             for number, proxy in enumerate(self.proxies):
-                said = {
+                registration = {
                     "service": "s",
                     "addr": proxy.address,
                     "zone": self.deployment.zones[number],
@@ -111,18 +111,18 @@
                     "seq": self._sequence,
                 }
                 await self._call_control(
-                    "PUT", f"/v1/instances/e{number}", json.dumps(said)
+                    "PUT", f"/v1/instances/e{number}", json.dumps(registration)
                 )
             await asyncio.sleep(0.5)
 
-    async def make_calls(self) -> None:
-        """Send requests one after the other, to a random entry."""
+    async def run_caller(self) -> None:
+        """Send requests in sequence, each to a random entry."""
         while True:
-            await self.ask()
+            await self.send_request()
             await asyncio.sleep(self.rng.uniform(0.0, 0.05))
 
-    async def ask(self) -> int:
-        """Send a request and note what its caller is told."""
+    async def send_request(self) -> int:
+        """Send a request and record its response."""
         self._number += 1
         request_id = f"r{self._number}"
         path = self.rng.choice(["/once/x", "/again/x"])
@@ -141,8 +141,8 @@
                 f"X-Deadline-Ms: {DEADLINE_MS}",
             ),
         )
-        self.promises.take_answer(
-            Told(
+        self.invariants.record_answer(
+            RequestRecord(
                 request_id=request_id,
                 path=path,
                 body=body,
@@ -153,8 +153,8 @@
         )
         return status
 
-    async def change(self) -> bool:
-        """Send the next version; say whether it was acknowledged."""
+    async def put_configuration(self) -> bool:
+        """Send a new version; return whether it was acknowledged."""
         self.version += self.rng.randint(1, 3)
         version = self.version
         routes = [
@@ -178,52 +178,52 @@
             "PUT", "/v1/config", json.dumps(document)
         )
         if status == 200:
-            self.promises.take_acknowledged(version)
+            self.invariants.record_acknowledged(version)
         return status == 200
 
-    async def operate(self) -> None:
-        """Change and read the configuration, again and again."""
+    async def run_operator(self) -> None:
+        """Change and read the configuration repeatedly."""
         while True:
-            await self.change()
-            await self.read()
+            await self.put_configuration()
+            await self.read_configuration()
             await asyncio.sleep(self.rng.uniform(0.1, 1.0))
 
-    async def read(self) -> int | None:
-        """Read the configuration at a random VM."""
-        acknowledged = self.promises.newest_acknowledged
+    async def read_configuration(self) -> int | None:
+        """Read the configuration at a random control VM; None on failure."""
+        acknowledged = self.invariants.newest_acknowledged
         status, body = await self._call_control("GET", "/v1/config")
         if status != 200:
             return None
         version = int(json.loads(body)["version"])
-        self.promises.take_read(version, acknowledged)
+        self.invariants.record_read(version, acknowledged)
         return version
 
-    async def disturb(self) -> None:
-        """Bring about faults at random, some at the same time."""
+    async def inject_faults(self) -> None:
+        """Inject random faults that may overlap."""
         async with asyncio.TaskGroup() as group:
             while True:
                 await asyncio.sleep(self.rng.uniform(0.5, 3.0))
-                group.create_task(self._disturb_once())
+                group.create_task(self._inject_fault())
 
     async def recover(self) -> None:
-        """End all faults and wait until everything serves."""
+        """End all faults and wait until all entries serve requests."""
         for proxy in self.proxies:
             proxy.set_fault(Fault.NONE)
         for machine in self.deployment.machines:
-            await self._bring_back(machine)
+            await self._restore_machine(machine)
         try:
-            await until(self.serves, RECOVER_SECONDS)
-            await until(self._reads_newest, RECOVER_SECONDS)
+            await until(self.serves, RECOVERY_SECONDS)
+            await until(self._reads_configuration, RECOVERY_SECONDS)
         except AssertionError:
-            self.promises.broken.append(
-                f"not everything serves {RECOVER_SECONDS} s after the faults"
+            self.invariants.violations.append(
+                f"no recovery within {RECOVERY_SECONDS} s after the faults"
             )
 
-    async def _bring_back(self, machine: Machine) -> None:
-        if machine.is_ending:
-            # The faults ended while it was draining, and with them the
-            # restart: it would end later and never be started again.
-            await machine.wait_until_ended()
+    async def _restore_machine(self, machine: Machine) -> None:
+        if machine.is_stopping:
+            # The end of the faults cancelled its restart. Without waiting,
+            # it would exit later and never be restarted.
+            await machine.wait_until_exited()
         if machine.process is None or machine.process.returncode is not None:
             machine.process = None
             await machine.start()
@@ -231,7 +231,7 @@
             machine.send_signal(signal.SIGCONT)
 
     async def serves(self) -> bool:
-        """Say whether every entry gives an answer."""
+        """Return whether every entry answers requests."""
         for entry in self.deployment.entries:
             status, _ = await call(
                 entry.ip,
@@ -245,57 +245,59 @@
                 return False
         return True
 
-    async def _reads_newest(self) -> bool:
-        version = await self.read()
+    async def _reads_configuration(self) -> bool:
+        version = await self.read_configuration()
         return version is not None
 
-    async def _disturb_once(self) -> None:
-        kinds = [
+    async def _inject_fault(self) -> None:
+        actions = [
             self._kill,
             self._pause,
             self._stop,
-            self._spoil,
-            self._spoil,
-            self._wipe,
+            self._inject_proxy_fault,
+            self._inject_proxy_fault,
+            self._erase_log,
         ]
-        await self.rng.choice(kinds)()
+        await self.rng.choice(actions)()
 
     async def _kill(self) -> None:
-        machine = self._pick(self.deployment.machines)
+        machine = self._pick_machine(self.deployment.machines)
         if machine is not None:
             await self.restart(machine, signal.SIGKILL, "killed")
 
     async def _stop(self) -> None:
-        machine = self._pick(self.deployment.machines)
+        machine = self._pick_machine(self.deployment.machines)
         if machine is not None:
             await self.restart(machine, signal.SIGTERM, "stopped")
 
-    async def _wipe(self) -> None:
-        machine = self._pick(self.deployment.control)
+    async def _erase_log(self) -> None:
+        machine = self._pick_machine(self.deployment.control)
         if machine is None:
             return
 
-        def empty() -> None:
+        def erase_log() -> None:
             shutil.rmtree(machine.folder / "log", ignore_errors=True)
 
-        await self.restart(machine, signal.SIGKILL, "emptied", empty)
+        await self.restart(machine, signal.SIGKILL, "emptied", erase_log)
 
     async def _pause(self) -> None:
-        machine = self._pick(self.deployment.machines)
+        machine = self._pick_machine(self.deployment.machines)
         if machine is None:
             return
         seconds = self.rng.uniform(0.5, 4.0)
-        self._note(f"{machine.name} paused for {seconds:.1f} s")
+        self._record_fault(f"{machine.name} paused for {seconds:.1f} s")
         machine.send_signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
         machine.send_signal(signal.SIGCONT)
         self._down.discard(machine.name)
 
-    async def _spoil(self) -> None:
+    async def _inject_proxy_fault(self) -> None:
         proxy = self.rng.choice(self.proxies)
         fault = self.rng.choice(list(Fault))
         seconds = self.rng.uniform(0.5, 4.0)
-        self._note(f"endpoint {proxy.address}: {fault.value}, {seconds:.1f} s")
+        self._record_fault(
+            f"endpoint {proxy.address}: {fault.value}, {seconds:.1f} s"
+        )
         proxy.set_fault(fault)
         await asyncio.sleep(seconds)
         proxy.set_fault(Fault.NONE)
@@ -304,40 +306,40 @@
         self,
         machine: Machine,
         number: int,
-        word: str,
+        action: str,
         between: Callable[[], None] | None = None,
     ) -> None:
-        """End a process by a signal and start it again, a while later."""
-        self._note(f"{machine.name} {word}")
+        """Stop a process by a signal and restart it after a delay."""
+        self._record_fault(f"{machine.name} {action}")
         await machine.stop(number)
         if between is not None:
             between()
         await asyncio.sleep(self.rng.uniform(0.1, 3.0))
         await machine.start()
-        # An emptied VM is lost until it has caught up.
+        # A control VM counts as down until it has caught up.
         await asyncio.sleep(6.0 if machine.is_control else 0.0)
         self._down.discard(machine.name)
 
-    def _pick(self, machines: list[Machine]) -> Machine | None:
-        """Pick a machine that may be lost: one with a disk at a time."""
+    def _pick_machine(self, machines: list[Machine]) -> Machine | None:
+        """Pick a process to fail, with at most one control VM down."""
         is_control_down = any(
             m.name in self._down for m in self.deployment.control
         )
-        left = [
+        candidates = [
             machine
             for machine in machines
             if machine.name not in self._down
             and not (machine.is_control and is_control_down)
         ]
-        if not left:
+        if not candidates:
             return None
-        machine = self.rng.choice(left)
+        machine = self.rng.choice(candidates)
         self._down.add(machine.name)
         return machine
 
-    def _note(self, what: str) -> None:
+    def _record_fault(self, description: str) -> None:
         seconds = time.monotonic() - self._began
-        self.faults.append(f"{seconds:6.2f} s  {what}")
+        self.faults.append(f"{seconds:6.2f} s  {description}")
 
     async def _call_control(
         self, method: str, path: str, body: str = ""
@@ -353,43 +355,43 @@
 ) -> Result:
     """Run one seed.
 
-    :param seconds: how long faults come
-    :param logs: where the logs are kept, None for nowhere
+    :param seconds: duration of the fault injection
+    :param logs: folder to copy the logs to, or None
     """
-    scene = Scene(seed)
+    soak_run = SoakRun(seed)
     try:
-        checking_in = asyncio.create_task(scene.check_in())
-        await scene.open()
-        await until(scene.serves, RECOVER_SECONDS)
+        registering = asyncio.create_task(soak_run.register_endpoints())
+        await soak_run.open()
+        await until(soak_run.serves, RECOVERY_SECONDS)
         load = [
-            asyncio.create_task(scene.make_calls()) for _ in range(CALLERS)
+            asyncio.create_task(soak_run.run_caller()) for _ in range(CALLERS)
         ]
-        load.append(asyncio.create_task(scene.operate()))
+        load.append(asyncio.create_task(soak_run.run_operator()))
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                await scene.disturb()
-        await scene.recover()
+                await soak_run.inject_faults()
+        await soak_run.recover()
         for task in load:
             task.cancel()
         await asyncio.gather(*load, return_exceptions=True)
-        await asyncio.sleep(SETTLE_SECONDS)
-        scene.promises.check_runs(scene.runs_by_id(), settled=True)
-        checking_in.cancel()
+        await asyncio.sleep(SETTLE_DELAY_SECONDS)
+        soak_run.invariants.check_runs(soak_run.runs_by_id(), settled=True)
+        registering.cancel()
         if logs is not None:
-            _keep_logs(scene, logs)
+            _copy_logs(soak_run, logs)
     finally:
-        await scene.close()
+        await soak_run.close()
     return Result(
         seed=seed,
-        broken=scene.promises.broken,
-        counts_by_status=scene.promises.counts_by_status,
-        faults=scene.faults,
+        violations=soak_run.invariants.violations,
+        counts_by_status=soak_run.invariants.counts_by_status,
+        faults=soak_run.faults,
     )
 
 
-def _keep_logs(scene: Scene, folder: pathlib.Path) -> None:
+def _copy_logs(soak_run: SoakRun, folder: pathlib.Path) -> None:
     folder.mkdir(parents=True, exist_ok=True)
-    for machine in scene.deployment.machines:
+    for machine in soak_run.deployment.machines:
         source = machine.folder / "output"
         if source.exists():
             shutil.copyfile(source, folder / f"{machine.name}.log")
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the soak: its checks can fail, and a short run of it."""
+"""Tests of the soak test's invariants and a short run of it."""
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -1,13 +1,13 @@
-"""Tests that a broken promise is found."""
+"""Tests that the checker detects violated invariants."""
 
 import unittest
 
-from scripts.soak.promises import Promises
-from scripts.soak.promises import Told
+from scripts.soak.invariants import InvariantChecker
+from scripts.soak.invariants import RequestRecord
 
 
-def told(request_id, status, *, path="/once/x", answer=b""):
-    return Told(
+def make_record(request_id, status, *, path="/once/x", answer=b""):
+    return RequestRecord(
         request_id=request_id,
         path=path,
         body=b"q",
@@ -18,42 +18,42 @@
 
 
 class PromisesTest(unittest.TestCase):
-    """Each check, with what breaks it."""
+    """Each invariant, with records that violate it."""
 
     def setUp(self):
-        self.promises = Promises()
+        self.invariants = InvariantChecker()
 
     def check(self, runs):
-        self.promises.check_runs(runs, settled=True)
-        return self.promises.broken
-
-    def test_all_is_well(self):
-        self.promises.take_answer(told("a", 200, answer=b"a:q"))
-        self.promises.take_answer(told("b", 502))
-        self.promises.take_answer(told("c", 503))
-        self.promises.take_answer(
-            told("d", 200, path="/again/x", answer=b"d:q")
+        self.invariants.check_runs(runs, settled=True)
+        return self.invariants.violations
+
+    def test_valid_records_give_no_violation(self):
+        self.invariants.record_answer(make_record("a", 200, answer=b"a:q"))
+        self.invariants.record_answer(make_record("b", 502))
+        self.invariants.record_answer(make_record("c", 503))
+        self.invariants.record_answer(
+            make_record("d", 200, path="/again/x", answer=b"d:q")
         )
-        self.promises.take_acknowledged(4)
-        self.promises.take_read(4, 4)
+        self.invariants.record_acknowledged(4)
+        self.invariants.record_read(4, 4)
         self.assertEqual([], self.check({"a": 1, "b": 1, "d": 2}))
 
-    def test_second_run(self):
-        self.promises.take_answer(told("a", 200, answer=b"a:q"))
+    def test_request_that_ran_twice_is_a_violation(self):
+        self.invariants.record_answer(make_record("a", 200, answer=b"a:q"))
         self.assertIn("ran 2 times", self.check({"a": 2})[0])
 
-    def test_run_after_a_promise(self):
-        self.promises.take_answer(told("a", 503))
-        self.assertIn("was told 503 and has run", self.check({"a": 1})[0])
+    def test_run_of_a_request_refused_as_not_run_is_a_violation(self):
+        self.invariants.record_answer(make_record("a", 503))
+        self.assertIn("got status 503 but ran", self.check({"a": 1})[0])
 
-    def test_answer_of_another(self):
-        self.promises.take_answer(told("a", 200, answer=b"b:q"))
-        self.assertIn("another answer", self.check({"a": 1})[0])
+    def test_response_of_another_request_is_a_violation(self):
+        self.invariants.record_answer(make_record("a", 200, answer=b"b:q"))
+        self.assertIn("got the wrong response", self.check({"a": 1})[0])
 
-    def test_answer_without_a_run(self):
-        self.promises.take_answer(told("a", 200, answer=b"a:q"))
-        self.assertIn("has not run", self.check({})[0])
+    def test_response_without_a_run_is_a_violation(self):
+        self.invariants.record_answer(make_record("a", 200, answer=b"a:q"))
+        self.assertIn("did not run", self.check({})[0])
 
-    def test_older_read(self):
-        self.promises.take_read(3, 4)
+    def test_read_older_than_an_acknowledged_version_is_a_violation(self):
+        self.invariants.record_read(3, 4)
         self.assertIn("version 3 was read", self.check({})[0])
