--- a/scripts/ablation/__init__.py
+++ b/scripts/ablation/__init__.py
@@ -1,1 +1,1 @@
-"""What each mechanism of the policy is worth, switched off one at a time."""
+"""An ablation study of the policy's mechanisms."""
--- a/scripts/ablation/__main__.py
+++ b/scripts/ablation/__main__.py
@@ -29,9 +29,9 @@
 
 from docopt import docopt
 
-from scripts.ablation.plays import Bench
-from scripts.ablation.plays import Play
-from scripts.ablation.plays import play_all
+from scripts.ablation.bench_runs import Bench
+from scripts.ablation.bench_runs import BenchRun
+from scripts.ablation.bench_runs import run_all
 from scripts.ablation.report import format_rows
 from scripts.ablation.variants import list_mechanisms
 from scripts.ablation.variants import list_variants
@@ -59,13 +59,13 @@
         return 2
     seeds = range(int(arguments["--seeds"]))
     if arguments["--bench"]:
-        print(_play_bench(arguments, variants, seeds))
+        print(_run_bench(arguments, variants, seeds))
     else:
-        print(_play_experiment(variants, seeds, int(arguments["--jobs"])))
+        print(_run_experiment(variants, seeds, int(arguments["--jobs"])))
     return 0
 
 
-def _play_experiment(variants: list[Variant], seeds: range, jobs: int) -> str:
+def _run_experiment(variants: list[Variant], seeds: range, jobs: int) -> str:
     cases = [
         Case(
             day=day, mix=mix, shape=BASE_SHAPE, policy=variant.name, seed=seed
@@ -82,7 +82,7 @@
     return format_rows(worth_by_case_by_name)
 
 
-def _play_bench(
+def _run_bench(
     arguments: dict[str, Any], variants: list[Variant], seeds: range
 ) -> str:
     bench = Bench(
@@ -92,19 +92,19 @@
     )
     for variant in variants:
         bench.prepare(variant)
-    plays = [
-        Play(variant=variant, day=day, seed=seed)
+    runs = [
+        BenchRun(variant=variant, day=day, seed=seed)
         for seed in seeds
         for day in arguments["--days"].split(",")
         for variant in variants
     ]
-    worth_by_play = play_all(bench, plays, int(arguments["--jobs"]))
+    worth_by_run = run_all(bench, runs, int(arguments["--jobs"]))
     for variant in variants:
         bench.collect_journal(variant)
     worth_by_case_by_name: dict[str, dict[object, float | None]] = {}
-    for play, worth in worth_by_play.items():
-        by_case = worth_by_case_by_name.setdefault(play.variant.name, {})
-        by_case[play.day, play.seed] = worth
+    for bench_run, worth in worth_by_run.items():
+        by_case = worth_by_case_by_name.setdefault(bench_run.variant.name, {})
+        by_case[bench_run.day, bench_run.seed] = worth
     return format_rows(worth_by_case_by_name)
 
 
--- a/scripts/ablation/report.py
+++ b/scripts/ablation/report.py
@@ -1,12 +1,12 @@
-"""A table of variants, with means and spread of the differences."""
+"""A table of variants with the means and errors of their losses."""
 
 from collections.abc import Mapping
 import statistics
 
-from scripts.ablation.variants import FULL
+from scripts.ablation.variants import FULL_POLICY
 
-# What is told from what was drawn: twice the standard error of a mean.
-_ERRORS = 2
+# Significance threshold of a mean, in standard errors.
+_SIGNIFICANCE_FACTOR = 2
 
 
 def mean_and_error(values: list[float]) -> tuple[float, float]:
@@ -20,12 +20,12 @@
 def format_rows(
     worth_by_case_by_name: Mapping[str, Mapping[object, float | None]],
 ) -> str:
-    """Return the table: worth, and what switching off loses case by case.
+    """Return the table of worth and of paired losses against the full policy.
 
-    :param worth_by_case_by_name: by variant, then by the case that every
-        variant has played; None where there is no figure
+    :param worth_by_case_by_name: by variant, then by case; all variants have
+        the same cases, None marks a failed run
     """
-    full = worth_by_case_by_name[FULL]
+    full = worth_by_case_by_name[FULL_POLICY]
     lines = [
         "| variant | cases | worth | error | loses | error | |",
         "| --- | --- | --- | --- | --- | --- | --- |",
@@ -42,10 +42,14 @@
             for case, after in by_case.items()
             if after is not None and (before := full.get(case)) is not None
         ]
-        if name == FULL or not losses:
+        if name == FULL_POLICY or not losses:
             lines.append(f"{row} | | |")
             continue
-        lost, spread = mean_and_error(losses)
-        mark = "" if abs(lost) > _ERRORS * spread else "within the spread"
-        lines.append(f"{row} {lost:+.4f} | {spread:.4f} | {mark} |")
+        mean_loss, loss_error = mean_and_error(losses)
+        mark = (
+            ""
+            if abs(mean_loss) > _SIGNIFICANCE_FACTOR * loss_error
+            else "within the spread"
+        )
+        lines.append(f"{row} {mean_loss:+.4f} | {loss_error:.4f} | {mark} |")
     return "\n".join(lines)
--- a/scripts/ablation/variants.py
+++ b/scripts/ablation/variants.py
@@ -1,4 +1,4 @@
-"""The policy as it is, and with each mechanism switched off."""
+"""The full policy, and its variants with one mechanism disabled."""
 
 from dataclasses import dataclass
 
@@ -6,49 +6,49 @@
 
 from burdockdrum.settings import MechanismSettings
 
-# The row that the others are compared with.
-FULL = "all in use"
+# The name of the variant that the others are compared with.
+FULL_POLICY = "all in use"
 
 
 @dataclass(frozen=True, kw_only=True)
 class Variant:
-    """A policy; ``off`` names the mechanism that is left out, if any."""
+    """A policy; ``disabled`` names the disabled mechanism, if any."""
 
     name: str
-    off: str | None = None
+    disabled: str | None = None
 
     def mechanisms(self) -> MechanismSettings:
-        """Return the switches."""
-        if self.off is None:
+        """Return the settings of the mechanisms."""
+        if self.disabled is None:
             return MechanismSettings()
         return msgspec.structs.replace(
-            MechanismSettings(), **{self.off: False}
+            MechanismSettings(), **{self.disabled: False}
         )
 
-    def policy_file(self) -> str:
-        """Return the operators' file that says the same."""
-        if self.off is None:
+    def format_policy(self) -> str:
+        """Return the equivalent policy file in TOML."""
+        if self.disabled is None:
             return "[policy]\n"
-        return f"[policy.mechanisms]\n{self.off} = false\n"
+        return f"[policy.mechanisms]\n{self.disabled} = false\n"
 
 
 def list_mechanisms() -> list[str]:
-    """Return the names of all switches."""
+    """Return the names of all mechanisms."""
     return [f.name for f in msgspec.structs.fields(MechanismSettings)]
 
 
 def list_variants(only: list[str]) -> list[Variant]:
-    """Return the whole policy first, then one without each mechanism.
+    """Return the full policy, then a variant without each mechanism.
 
-    :param only: the mechanisms to switch off; none means every one
-    :raises ValueError: if there is no such mechanism
+    :param only: the mechanisms to disable; empty for all
+    :raises ValueError: if a mechanism does not exist
     """
     known = list_mechanisms()
     for name in only:
         if name not in known:
-            raise ValueError(f"no mechanism {name!r}; see --list")
+            raise ValueError(f"mechanism {name!r} does not exist; see --list")
     chosen = only or known
     return [
-        Variant(name=FULL),
-        *(Variant(name=f"no {name}", off=name) for name in chosen),
+        Variant(name=FULL_POLICY),
+        *(Variant(name=f"no {name}", disabled=name) for name in chosen),
     ]
--- a/tests/ablation/test_ablation.py
+++ b/tests/ablation/test_ablation.py
@@ -1,4 +1,4 @@
-"""Tests of what the mechanisms of the policy are compared by."""
+"""Tests of the variants and the report of the ablation study."""
 
 import pathlib
 import tempfile
@@ -7,7 +7,7 @@
 from burdockdrum.settings import load_policy
 from burdockdrum.settings import SettingsError
 from scripts.ablation.report import format_rows
-from scripts.ablation.variants import FULL
+from scripts.ablation.variants import FULL_POLICY
 from scripts.ablation.variants import list_mechanisms
 from scripts.ablation.variants import list_variants
 
@@ -15,7 +15,7 @@
 
 
 def read_policy(text):
-    """Read an operators' file."""
+    """Load a policy file with the given text."""
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "policy.toml"
         path.write_text(text)
@@ -23,22 +23,24 @@
 
 
 class VariantTest(unittest.TestCase):
-    """One mechanism off, all others in use."""
+    """Variants with one mechanism disabled."""
 
-    def test_files_of_operators_say_what_the_variants_do(self):
+    def test_policy_file_disables_the_mechanism_of_the_variant(self):
         for variant in list_variants([]):
             with self.subTest(variant.name):
-                policy = read_policy(variant.policy_file())
+                policy = read_policy(variant.format_policy())
                 self.assertEqual(variant.mechanisms(), policy.mechanisms)
-                off = [
+                disabled = [
                     name
                     for name in list_mechanisms()
                     if not getattr(policy.mechanisms, name)
                 ]
-                self.assertEqual([variant.off] if variant.off else [], off)
+                self.assertEqual(
+                    [variant.disabled] if variant.disabled else [], disabled
+                )
 
-    def test_every_switch_is_read_by_the_policy(self):
-        # A switch that no code asks for would be measured as worth nothing.
+    def test_every_mechanism_setting_is_used(self):
+        # An unused setting would appear as a mechanism without effect.
         code = "".join(
             path.read_text()
             for path in PACKAGE.rglob("*.py")
@@ -47,13 +49,13 @@
         for name in list_mechanisms():
             self.assertIn(f"mechanisms.{name}", code, name)
 
-    def test_unknown_mechanism_is_refused_with_the_nearest(self):
+    def test_unknown_mechanism_is_rejected_with_a_suggestion(self):
         with self.assertRaises(ValueError):
             list_variants(["stale_sprad"])
         with self.assertRaisesRegex(SettingsError, "stale_spread"):
             read_policy("[policy.mechanisms]\nstale_sprad = false\n")
 
-    def test_switch_that_is_no_truth_value_is_refused(self):
+    def test_mechanism_setting_that_is_not_boolean_is_rejected(self):
         for value in ('"off"', "0", "nan"):
             text = f"[policy.mechanisms]\nstale_spread = {value}\n"
             with (
@@ -62,7 +64,7 @@
             ):
                 read_policy(text)
 
-    def test_policy_file_holds_the_policy_only(self):
+    def test_policy_file_with_other_settings_is_rejected(self):
         with self.assertRaisesRegex(SettingsError, "listen"):
             read_policy("[listen]\n")
         with self.assertRaisesRegex(SettingsError, "policy.choices"):
@@ -72,12 +74,12 @@
 class ReportTest(unittest.TestCase):
     """The table of a comparison."""
 
-    def test_losses_are_taken_case_by_case(self):
-        # Two days differ by 0.3, which a mean of each variant would bury;
-        # the loss is 0.02 on both. A day without a figure is left out.
+    def test_losses_are_paired_by_case(self):
+        # The loss is 0.02 in both cases, much less than the difference of 0.3
+        # between the cases. A case without a result is skipped.
         table = format_rows(
             {
-                FULL: {"a": 0.5, "b": 0.8, "c": 0.9},
+                FULL_POLICY: {"a": 0.5, "b": 0.8, "c": 0.9},
                 "no x": {"a": 0.48, "b": 0.78, "c": None},
                 "no y": {"a": 0.52, "b": 0.78, "c": 0.9},
             }
