--- a/scripts/experiment/__init__.py
+++ b/scripts/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""The load and experiment tool: the users' mixes against policies."""
+"""Experiments that compare policies on the users' workloads."""
--- a/scripts/experiment/__main__.py
+++ b/scripts/experiment/__main__.py
@@ -49,7 +49,7 @@
 from scripts.experiment.scenarios import SCENARIOS
 from scripts.experiment.workload import USERS
 
-# The machine may be shared with other work.
+# Few, as the machine may be shared with other work.
 PROCESSES = 2
 
 
--- a/scripts/experiment/capacity.py
+++ b/scripts/experiment/capacity.py
@@ -1,9 +1,9 @@
-"""Measure at which rate a user's runners are full.
+"""Measure the request rate that saturates a user's runners.
 
 Usage: python -m scripts.experiment.capacity
 
-Each region gets far more than it can do, with no deadlines; the rate of
-completions is the capacity that workload.py states for each user.
+Each region is overloaded by requests without deadlines; the rate of
+completions is the capacity of the user in workload.py.
 """
 
 import asyncio
@@ -19,14 +19,16 @@
 from scripts.experiment.workload import USERS
 from scripts.experiment.world import World
 
-SECONDS = 120.0
-_FROM = 40.0
+RUN_SECONDS = 120.0
+_MEASURE_FROM_SECONDS = 40.0
 
 
 def measure_capacity(user: User) -> float:
-    """Return the completions a second of all classes in their mix."""
-    patient = tuple(dataclasses.replace(c, deadline=1e6) for c in user.classes)
-    user = dataclasses.replace(user, classes=patient)
+    """Return the completed requests per second of the whole mix."""
+    classes_without_deadline = tuple(
+        dataclasses.replace(c, deadline=1e6) for c in user.classes
+    )
+    user = dataclasses.replace(user, classes=classes_without_deadline)
     return run_virtual(_run(user))
 
 
@@ -34,7 +36,7 @@
     policy = Policy(name="", router=LeastLoadRouter)
     world = World(user=user, policy=policy, seed=1)
     scenario = Scenario(
-        name="", title="", load_of=Steady(load=2.0), seconds=SECONDS
+        name="", title="", load_of=Steady(load=2.0), seconds=RUN_SECONDS
     )
     driver = Driver(world=world, scenario=scenario, seed=1)
     tasks = [
@@ -45,14 +47,14 @@
     engines = [
         host.engine for name, host in world.hosts_by_id.items() if main in name
     ]
-    await asyncio.sleep(_FROM)
+    await asyncio.sleep(_MEASURE_FROM_SECONDS)
     before = sum(engine.completed for engine in engines)
-    await asyncio.sleep(SECONDS - _FROM)
+    await asyncio.sleep(RUN_SECONDS - _MEASURE_FROM_SECONDS)
     done = sum(engine.completed for engine in engines) - before
     for task in tasks:
         task.cancel()
     share = sum(c.share for c in user.classes if c.service == main)
-    return done / (SECONDS - _FROM) / share
+    return done / (RUN_SECONDS - _MEASURE_FROM_SECONDS) / share
 
 
 if __name__ == "__main__":
--- a/scripts/experiment/driver.py
+++ b/scripts/experiment/driver.py
@@ -1,8 +1,8 @@
 """Send the arrivals through the entries, as the request path does.
 
-The driver mirrors ``burdockdrum.requests``: admission, choice, one attempt,
-then others while the work is repeatable and the deadline allows. It leaves
-out HTTP and bodies, which cost no time that a policy could change.
+The driver mirrors ``burdockdrum.requests``: admission, routing, attempts and
+retries until the deadline. HTTP and bodies are not simulated, as their cost
+does not depend on the policy.
 """
 
 import asyncio
@@ -27,18 +27,18 @@
 from scripts.experiment.scenarios import Scenario
 from scripts.experiment.workload import Arrival
 from scripts.experiment.workload import make_arrivals
-from scripts.experiment.world import CALLER_SECONDS
+from scripts.experiment.world import CALLER_DELAY_SECONDS
 from scripts.experiment.world import Entry
-from scripts.experiment.world import LOCAL_SECONDS
-from scripts.experiment.world import WIDE_AREA_SECONDS
+from scripts.experiment.world import LOCAL_DELAY_SECONDS
+from scripts.experiment.world import WIDE_AREA_DELAY_SECONDS
 from scripts.experiment.world import World
 
-MAX_TRIES = 3
+MAX_ATTEMPTS = 3
 MAX_FORWARDS = 5
 
 
 class Ending(enum.Enum):
-    """What the caller got."""
+    """The result that the caller received."""
 
     WHOLE = "whole answer"
     NOT_RUN = "not run"
@@ -48,22 +48,22 @@
 
 @dataclass(kw_only=True)
 class Outcome:
-    """One request's end; times are seconds since it was sent."""
+    """The result of one request; times are seconds since it was sent."""
 
     arrival: Arrival
     ending: Ending = Ending.LATE
     code: str = ""
     first_token: float = 0.0
     finish: float = 0.0
-    ran_in: str = ""
-    tries: int = 0
+    ran_in_region: str = ""
+    attempts: int = 0
 
 
 class Driver:
     """The callers of one run."""
 
     def __init__(self, *, world: World, scenario: Scenario, seed: int) -> None:
-        """Create callers."""
+        """Create callers that are not started."""
         self._world = world
         self._scenario = scenario
         self._seed = seed
@@ -71,14 +71,14 @@
         self.outcomes: list[Outcome] = []
 
     async def run(self) -> None:
-        """Send every arrival at its time and wait for all ends."""
+        """Send every arrival at its time and wait for all results."""
         arrivals = make_arrivals(
             self._world.user,
             self._scenario.load_of,
             self._scenario.seconds,
             self._seed,
         )
-        # Reports and summaries flow before the first caller comes.
+        # Entries receive reports and summaries before the first request.
         await asyncio.sleep(2.0)
         start = _now()
         async with asyncio.TaskGroup() as group:
@@ -96,10 +96,10 @@
         request = self._make_request(arrival, deadline)
         try:
             async with asyncio.timeout_at(deadline):
-                await asyncio.sleep(CALLER_SECONDS)
+                await asyncio.sleep(CALLER_DELAY_SECONDS)
                 exchange = _Exchange(self._world, arrival, outcome, sent_at)
-                await exchange.serve(entry, request, CALLER_SECONDS)
-                await asyncio.sleep(CALLER_SECONDS)
+                await exchange.serve(entry, request, CALLER_DELAY_SECONDS)
+                await asyncio.sleep(CALLER_DELAY_SECONDS)
             outcome.ending = Ending.WHOLE
         except Refusal as refusal:
             outcome.code = refusal.code.value
@@ -117,7 +117,9 @@
         return RoutingRequest(
             service=chosen.service,
             regions=frozenset(
-                {arrival.region} if arrival.bound else self._world.user.regions
+                {arrival.region}
+                if arrival.is_region_bound
+                else self._world.user.regions
             ),
             deadline=deadline,
             rank=chosen.rank,
@@ -129,7 +131,7 @@
 
 
 class _Exchange:
-    """One request on its way through one or two entries."""
+    """The path of one request through one or two entries."""
 
     def __init__(
         self, world: World, arrival: Arrival, outcome: Outcome, sent_at: float
@@ -140,69 +142,75 @@
         self._sent_at = sent_at
 
     async def serve(
-        self, entry: Entry, request: RoutingRequest, back: float
+        self, entry: Entry, request: RoutingRequest, return_seconds: float
     ) -> None:
-        """Serve at an entry.
+        """Serve the request at an entry.
 
-        :param back: seconds that a token takes from there to the caller
+        :param return_seconds: delay of a token from the entry to the caller
         """
-        for _ in range(MAX_TRIES + MAX_FORWARDS):
+        for _ in range(MAX_ATTEMPTS + MAX_FORWARDS):
             permit = await entry.admission.admit("client", request)
             try:
                 match entry.router.choose(request):
                     case ToEndpoint(endpoint=endpoint):
                         name = endpoint.endpoint_id
-                        if await self._attempt(entry, endpoint, request, back):
+                        if await self._attempt(
+                            entry, endpoint, request, return_seconds
+                        ):
                             return
                         tried = request.excluded_endpoints | {name}
                         request = replace(request, excluded_endpoints=tried)
                     case ToDataCentre() as choice:
-                        if await self._forward(entry, choice, request, back):
+                        if await self._forward(
+                            entry, choice, request, return_seconds
+                        ):
                             return
                         entry.router.record_forward_refused(choice.data_centre)
                     case Unroutable() as unroutable:
                         raise _overloaded(unroutable.message)
             finally:
                 permit.release(completed=True)
-        raise _overloaded("tried too often")
+        raise _overloaded("attempts exhausted")
 
     async def _forward(
         self,
         entry: Entry,
         choice: ToDataCentre,
         request: RoutingRequest,
-        back: float,
+        return_seconds: float,
     ) -> bool:
-        """Pass the request on; say whether it was answered there."""
+        """Forward the request; return whether it was answered there."""
         entries = self._world.entries_by_region[choice.data_centre]
         vm_id = choice.entries[0].vm_id
         other = next(e for e in entries if e.identity.vm_id == vm_id)
         hops = (*request.hops, entry.identity.data_centre)
         displaced = entry.router.is_displaced(request)
-        passed_on = replace(request, hops=hops, displaced=displaced)
-        await asyncio.sleep(WIDE_AREA_SECONDS)
+        forwarded = replace(request, hops=hops, displaced=displaced)
+        await asyncio.sleep(WIDE_AREA_DELAY_SECONDS)
         try:
-            await self.serve(other, passed_on, back + WIDE_AREA_SECONDS)
+            await self.serve(
+                other, forwarded, return_seconds + WIDE_AREA_DELAY_SECONDS
+            )
             return True
         except Refusal:
             return False
         finally:
-            await asyncio.sleep(WIDE_AREA_SECONDS)
+            await asyncio.sleep(WIDE_AREA_DELAY_SECONDS)
 
     async def _attempt(
         self,
         entry: Entry,
         endpoint: Endpoint,
         request: RoutingRequest,
-        back: float,
+        return_seconds: float,
     ) -> bool:
-        """Run at an endpoint; say whether the answer was whole."""
+        """Run at an endpoint; return whether the response was complete."""
         engine = self._world.hosts_by_id[endpoint.endpoint_id].engine
         attempt = entry.router.begin(endpoint, request)
-        self._outcome.tries += 1
+        self._outcome.attempts += 1
         outcome = AttemptOutcome.FAILED
         work = Work(
-            request_id=f"{self._arrival.number}-{self._outcome.tries}",
+            request_id=f"{self._arrival.number}-{self._outcome.attempts}",
             chat=True,
             stream=True,
             prompt=b"",
@@ -212,14 +220,16 @@
             prefix_hashes=request.prefix_hashes,
         )
         try:
-            await asyncio.sleep(LOCAL_SECONDS)
+            await asyncio.sleep(LOCAL_DELAY_SECONDS)
             async with contextlib.aclosing(engine.generate(work)) as tokens:
                 async for _ in tokens:
                     attempt.record_first_token()
-                    self._note_first_token(back + LOCAL_SECONDS)
-            await asyncio.sleep(LOCAL_SECONDS)
+                    self._record_first_token(
+                        return_seconds + LOCAL_DELAY_SECONDS
+                    )
+            await asyncio.sleep(LOCAL_DELAY_SECONDS)
             outcome = AttemptOutcome.COMPLETED
-            self._outcome.ran_in = entry.identity.region
+            self._outcome.ran_in_region = entry.identity.region
         except EngineCrashed:
             outcome = AttemptOutcome.UNREACHABLE
         except EngineFailed:
@@ -233,9 +243,9 @@
             attempt.finish(outcome, tokens=request.max_tokens)
         return outcome is AttemptOutcome.COMPLETED
 
-    def _note_first_token(self, back: float) -> None:
+    def _record_first_token(self, return_seconds: float) -> None:
         if not self._outcome.first_token:
-            self._outcome.first_token = _now() + back - self._sent_at
+            self._outcome.first_token = _now() + return_seconds - self._sent_at
 
 
 def _now() -> float:
--- a/scripts/experiment/measure.py
+++ b/scripts/experiment/measure.py
@@ -1,4 +1,4 @@
-"""Run one policy through one scenario, and sum the outcomes up."""
+"""Run one policy under one scenario and summarize the outcomes."""
 
 import asyncio
 import collections
@@ -19,13 +19,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Result:
-    """What a run of a policy gave; times are in seconds.
+    """The figures of a policy under a scenario; times are in seconds.
 
-    ``cost`` is engine seconds a completed request. The percentiles are of
-    the main service's requests that were answered whole; ``answered`` is
-    their share. ``out_of_bounds`` counts those that ran where residency
-    forbids. ``top_worth`` is the share of the top class's worth that
-    was completed, ``worth`` that of all classes.
+    ``cost`` is the engine time per completed request. ``answered`` is the
+    fraction of completed requests; the percentiles are those of the main
+    service. ``out_of_bounds`` counts requests that ran in a region that
+    residency forbids. ``worth`` is the completed fraction of the worth of
+    all classes, ``top_worth`` that of the most valuable class.
     """
 
     user: str
@@ -53,7 +53,7 @@
 ) -> Result:
     """Run a scenario under virtual time, once with each seed.
 
-    The outcomes of all seeds are summed up together.
+    The outcomes of all seeds are summarized together.
     """
     began = time.perf_counter()
     measured: list[Outcome] = []
@@ -67,7 +67,7 @@
             if outcome.arrival.at >= scenario.measure_from
         ]
     wall = time.perf_counter() - began
-    return _sum_up(user, scenario, policy, measured, busy, wall)
+    return _summarize_outcomes(user, scenario, policy, measured, busy, wall)
 
 
 async def _run(
@@ -85,11 +85,11 @@
     running.cancel()
     await asyncio.gather(running, return_exceptions=True)
     busy = sum(h.engine.busy_seconds for h in world.hosts_by_id.values())
-    whole = sum(o.ending is Ending.WHOLE for o in driver.outcomes)
-    return driver.outcomes, busy / max(1, whole)
+    completed = sum(o.ending is Ending.WHOLE for o in driver.outcomes)
+    return driver.outcomes, busy / max(1, completed)
 
 
-def _sum_up(
+def _summarize_outcomes(
     user: User,
     scenario: Scenario,
     policy: Policy,
@@ -98,15 +98,15 @@
     wall: float,
 ) -> Result:
     main = next(iter(user.runners))
-    whole = [o for o in outcomes if o.ending is Ending.WHOLE]
+    completed = [o for o in outcomes if o.ending is Ending.WHOLE]
     metrics = Metrics()
     first = metrics.histogram("first", "To the first token.")
     end = metrics.histogram("end", "To the end.")
-    for outcome in whole:
+    for outcome in completed:
         if outcome.arrival.request_class.service == main:
             first.record(outcome.first_token)
             end.record(outcome.finish)
-    away = sum(o.ran_in != o.arrival.region for o in whole)
+    away = sum(o.ran_in_region != o.arrival.region for o in completed)
     refused = collections.Counter(
         f"{o.ending.value} {o.code}".strip()
         for o in outcomes
@@ -118,7 +118,7 @@
         scenario=scenario.name,
         policy=policy.name,
         sent=len(outcomes),
-        answered=len(whole) / max(1, len(outcomes)),
+        answered=len(completed) / max(1, len(outcomes)),
         cost=cost,
         first_p50=first.percentile(50),
         first_p95=first.percentile(95),
@@ -126,12 +126,13 @@
         end_p50=end.percentile(50),
         end_p95=end.percentile(95),
         end_p99=end.percentile(99),
-        elsewhere=away / max(1, len(whole)),
+        elsewhere=away / max(1, len(completed)),
         out_of_bounds=sum(
-            o.arrival.bound and o.ran_in != o.arrival.region for o in whole
+            o.arrival.is_region_bound and o.ran_in_region != o.arrival.region
+            for o in completed
         ),
-        worth=_worth(whole) / max(1e-9, _worth(outcomes)),
-        top_worth=_worth(whole, top.name)
+        worth=_worth(completed) / max(1e-9, _worth(outcomes)),
+        top_worth=_worth(completed, top.name)
         / max(1e-9, _worth(outcomes, top.name)),
         refused=dict(refused),
         wall_seconds=wall,
--- a/scripts/experiment/passed/__init__.py
+++ b/scripts/experiment/passed/__init__.py
@@ -1,5 +1,5 @@
-"""The policy of passed requests, played in virtual time.
+"""A simulation of the policy for proxied requests in virtual time.
 
-The fleet and the target selection are the product's own; engines, callers and
-the messages between entries are simulated here. Nothing waits on real time.
+It runs the product's fleet and target selection; engines, callers and the
+messages between entries are simulated.
 """
--- a/scripts/experiment/passed/__main__.py
+++ b/scripts/experiment/passed/__main__.py
@@ -33,9 +33,9 @@
 from scripts.experiment.passed.cases import list_policies
 from scripts.experiment.passed.cases import run_cases
 from scripts.experiment.passed.loads import DAYS
-from scripts.experiment.passed.play import Result
 from scripts.experiment.passed.shapes import MIXES
 from scripts.experiment.passed.shapes import SHAPES
+from scripts.experiment.passed.simulation import Result
 
 
 def average(results: list[Result]) -> Result:
--- a/scripts/experiment/passed/callers.py
+++ b/scripts/experiment/passed/callers.py
@@ -1,7 +1,7 @@
-"""Callers, and the way of a request through one or two entries.
+"""Simulated callers and the path of a request through one or two entries.
 
-The relay is mirrored as far as a choice depends on it: target, attempt,
-another target while the work may be repeated. Bodies and sockets are left out.
+It mirrors how the relay selects a target and retries an idempotent request at
+another one. Bodies and sockets are not simulated.
 """
 
 from collections.abc import Callable
@@ -20,30 +20,30 @@
 from burdockdrum.verdicts import Refusal
 from scripts.experiment.passed.engine import Job
 from scripts.experiment.passed.loads import Arrival
-from scripts.experiment.passed.shapes import Kind
-from scripts.experiment.passed.shapes import LATE_PART
+from scripts.experiment.passed.shapes import LATE_WORTH_FRACTION
+from scripts.experiment.passed.shapes import RequestKind
+from scripts.experiment.passed.world import CROSS_REGION_DELAY_SECONDS
+from scripts.experiment.passed.world import CROSS_REGION_FETCH_DELAY_SECONDS
 from scripts.experiment.passed.world import Entry
-from scripts.experiment.passed.world import FAR_FETCH_SECONDS
-from scripts.experiment.passed.world import FAR_SECONDS
 from scripts.experiment.passed.world import SERVICE
 from scripts.experiment.passed.world import World
 
-# A caller that can't connect tries again after so long.
-RECONNECT_SECONDS = 0.3
-# Of the time that is left, the longest pause that a caller keeps to.
-MAX_PAUSE_PART = 1 / 3
-# A refused caller comes back so often.
-RETURNS = 1
+# Delay before a caller that can't connect tries again.
+RECONNECT_DELAY_SECONDS = 0.3
+# Callers limit a retry delay to this fraction of the remaining time.
+MAX_RETRY_DELAY_FRACTION = 1 / 3
+# Retries of a refused request by its caller.
+MAX_RETRIES = 1
 MAX_ATTEMPTS = 2
 
 
 @dataclass(kw_only=True)
 class Outcome:
-    """What became of one request; seconds count from its first sending."""
+    """The result of one request; times are seconds since it was sent."""
 
     arrival: Arrival
     first_at: float | None = None
-    is_whole: bool = False
+    is_complete: bool = False
     longest_pause: float = 0.0
     last_part_at: float = 0.0
     refusals: int = 0
@@ -53,10 +53,10 @@
 
     @property
     def is_in_time(self) -> bool:
-        """Say whether it earned its whole worth."""
+        """Return whether it met its latency objective and pause limit."""
         kind = self.arrival.kind
         return (
-            self.is_whole
+            self.is_complete
             and self.first_at is not None
             and self.first_at <= kind.objective_seconds
             and self.longest_pause <= kind.pause_seconds
@@ -64,14 +64,18 @@
 
     @property
     def worth(self) -> float:
-        """Return what it earned."""
+        """Return the worth of the result."""
         if self.is_in_time:
             return self.arrival.kind.worth
-        return self.arrival.kind.worth * LATE_PART if self.is_whole else 0.0
+        return (
+            self.arrival.kind.worth * LATE_WORTH_FRACTION
+            if self.is_complete
+            else 0.0
+        )
 
 
-def make_route(kind: Kind) -> Route:
-    """Return the route that a kind of request takes."""
+def make_route(kind: RequestKind) -> Route:
+    """Return the route of a kind of request."""
     return Route(
         name=kind.name,
         host="h",
@@ -88,23 +92,23 @@
 
 @dataclass(kw_only=True, eq=False)
 class Call:
-    """One request of a caller, through all its returns."""
+    """One request of a caller, with its retries."""
 
     world: World
     outcome: Outcome
     rng: random.Random
     sent_at: float
-    returns: int = 0
+    retries: int = 0
     jobs: list[Job] = field(default_factory=list)
     is_over: bool = False
 
     @property
     def deadline(self) -> float:
-        """Return when the caller gives up."""
+        """Return the time at which the caller cancels the request."""
         return self.sent_at + self.outcome.arrival.kind.deadline_seconds
 
-    def begin(self) -> None:
-        """Send it, and give up at the deadline."""
+    def start(self) -> None:
+        """Send the request; cancel it at the deadline."""
         self.world.schedule.at(self.deadline, self._give_up)
         self._send()
 
@@ -114,14 +118,16 @@
         schedule = self.world.schedule
         entries = self.world.live_entries(self.outcome.arrival.region)
         if not entries:
-            schedule.after(RECONNECT_SECONDS * self.world.times, self._send)
+            schedule.after(
+                RECONNECT_DELAY_SECONDS * self.world.time_scale, self._send
+            )
             return
         entry = self.rng.choice(entries)
         Exchange(
             call=self,
             entry=entry,
             request=self._make_request(None),
-            refuse=self._take_refusal,
+            refuse=self._handle_refusal,
         ).serve()
 
     def _make_request(self, forwarded_from: str | None) -> ProxiedRequest:
@@ -146,21 +152,25 @@
             forwarded_from=forwarded_from,
         )
 
-    def pass_on(self, request: ProxiedRequest, entry: Entry) -> ProxiedRequest:
-        """Return the request as the entry of another region gets it."""
+    def make_forwarded_request(
+        self, request: ProxiedRequest, entry: Entry
+    ) -> ProxiedRequest:
+        """Return the request as an entry of another region receives it."""
         return self._make_request(entry.identity.region)
 
-    def _take_refusal(self, refusal: Refusal) -> None:
+    def _handle_refusal(self, refusal: Refusal) -> None:
         self.outcome.refusals += 1
-        if self.is_over or self.returns >= RETURNS:
+        if self.is_over or self.retries >= MAX_RETRIES:
             return
-        self.returns += 1
+        self.retries += 1
         left = self.deadline - self.world.schedule.now
-        pause = min(refusal.retry_after or 0.0, left * MAX_PAUSE_PART)
+        pause = min(
+            refusal.retry_after or 0.0, left * MAX_RETRY_DELAY_FRACTION
+        )
         self.world.schedule.after(pause, self._send)
 
-    def note_part(self) -> None:
-        """Take note of an event of the answer."""
+    def record_event(self) -> None:
+        """Record an event of the response."""
         if self.is_over:
             return
         now = self.world.schedule.now
@@ -173,9 +183,9 @@
         outcome.last_part_at = now
 
     def finish(self) -> None:
-        """Take note that the answer is whole."""
+        """Record that the response is complete."""
         if not self.is_over:
-            self.outcome.is_whole = True
+            self.outcome.is_complete = True
             self.is_over = True
 
     def _give_up(self) -> None:
@@ -186,7 +196,7 @@
 
 @dataclass(kw_only=True, eq=False)
 class Exchange:
-    """A request at one entry."""
+    """The handling of a request at one entry."""
 
     call: Call
     entry: Entry
@@ -199,7 +209,7 @@
         if self.call.is_over or not self.entry.is_up:
             return
         try:
-            target = self.entry.placing.select(self.request, self.progress)
+            target = self.entry.selector.select(self.request, self.progress)
         except Refusal as refusal:
             self.refuse(refusal)
             return
@@ -207,7 +217,7 @@
             case EndpointTarget():
                 self._attempt(target)
             case RegionTarget():
-                self._pass_on(target)
+                self._forward(target)
 
     def _attempt(self, target: EndpointTarget) -> None:
         world, fleet = self.call.world, self.entry.fleet
@@ -222,22 +232,22 @@
             expected = choice.wait.queue + choice.wait.service_time
             outcome.expected_first = since + expected
         fetch = choice.fetch
-        holder = world.engines_by_id.get(fetch.address) if fetch else None
+        source = world.engines_by_id.get(fetch.address) if fetch else None
         outcome.runs += 1
 
-        def on_part() -> None:
+        def on_output() -> None:
             fleet.record_output(in_flight_request)
-            self.call.note_part()
+            self.call.record_event()
 
         job = Job(
             prompt=self.request.prompt,
             rank=rank,
             output_tokens=outcome.arrival.output_tokens,
-            fetch_from=holder,
-            fetch_delay=FAR_FETCH_SECONDS * world.times
+            fetch_from=source,
+            fetch_delay=CROSS_REGION_FETCH_DELAY_SECONDS * world.time_scale
             if fetch and fetch.is_cross_region
             else 0.0,
-            on_part=on_part,
+            on_output=on_output,
             on_end=lambda whole: self._end(in_flight_request, whole),
         )
         self.call.jobs.append(job)
@@ -258,26 +268,29 @@
         if self.progress.runs < self.request.attempts:
             self.call.world.schedule.after(0.0, self.serve)
 
-    def _pass_on(self, target: RegionTarget) -> None:
+    def _forward(self, target: RegionTarget) -> None:
         world = self.call.world
         other = world.entries_by_address[target.address]
         self.call.outcome.away = True
         world.schedule.after(
-            FAR_SECONDS * world.times, lambda: self._arrive(target, other)
+            CROSS_REGION_DELAY_SECONDS * world.time_scale,
+            lambda: self._arrive(target, other),
         )
 
     def _arrive(self, target: RegionTarget, other: Entry) -> None:
         world = self.call.world
 
         def refuse(refusal: Refusal) -> None:
-            # The answer takes the same way back.
+            # The refusal returns over the same link.
             self.progress.tried.add(target.vm_id)
             self.progress.tried_regions.add(target.region)
-            world.schedule.after(FAR_SECONDS * world.times, self.serve)
+            world.schedule.after(
+                CROSS_REGION_DELAY_SECONDS * world.time_scale, self.serve
+            )
 
         Exchange(
             call=self.call,
             entry=other,
-            request=self.call.pass_on(self.request, self.entry),
+            request=self.call.make_forwarded_request(self.request, self.entry),
             refuse=refuse,
         ).serve()
--- a/scripts/experiment/passed/cases.py
+++ b/scripts/experiment/passed/cases.py
@@ -1,18 +1,18 @@
-"""Days under policies, played side by side."""
+"""Cases of the comparison, simulated in parallel."""
 
 import concurrent.futures
 from dataclasses import dataclass
 
 from scripts.ablation.variants import list_variants
 from scripts.experiment.passed.loads import DAYS
-from scripts.experiment.passed.play import play
-from scripts.experiment.passed.play import Result
 from scripts.experiment.passed.shapes import MIXES
 from scripts.experiment.passed.shapes import SHAPES
+from scripts.experiment.passed.simulation import Result
+from scripts.experiment.passed.simulation import simulate_day
 from scripts.experiment.passed.variants import BASELINES
 from scripts.experiment.passed.variants import PolicyVariant
 
-# The shape that most comparisons use.
+# The engine shape of most comparisons.
 BASE_SHAPE = "base"
 
 
@@ -30,7 +30,7 @@
 def list_policies(*, without: bool) -> dict[str, PolicyVariant]:
     """Return the policies by name, the product's first.
 
-    :param without: with the product's without each mechanism
+    :param without: also include the variants without one mechanism
     """
     product, *others = list_variants([])
     policies = [
@@ -46,8 +46,8 @@
 
 
 def run_case(case: Case) -> Result:
-    """Play one case."""
-    result, _ = play(
+    """Simulate one case."""
+    result, _ = simulate_day(
         day=DAYS[case.day],
         mix=MIXES[case.mix],
         shape=SHAPES[case.shape],
@@ -58,6 +58,6 @@
 
 
 def run_cases(cases: list[Case], jobs: int) -> dict[Case, Result]:
-    """Play cases side by side."""
+    """Simulate cases in parallel."""
     with concurrent.futures.ProcessPoolExecutor(jobs) as pool:
         return dict(zip(cases, pool.map(run_case, cases), strict=True))
--- a/scripts/experiment/passed/engine.py
+++ b/scripts/experiment/passed/engine.py
@@ -1,9 +1,8 @@
-"""An engine with a batch, a memory and a queue, in virtual time.
+"""A simulated inference engine with continuous batching.
 
-Requests are admitted by rank while slots and memory last. One prompt is read
-after the other, the most urgent first, in chunks beside the tokens of those
-that write. Parts that were read stay in memory and are pushed out when it is
-needed, those used longest ago first.
+Requests are admitted by rank while slots and memory are free. Prefill runs in
+chunks within the decode steps, the most urgent prompt first. Prompt parts stay
+in a prefix cache with least-recently-used eviction.
 """
 
 import collections
@@ -22,9 +21,9 @@
 class Job:
     """One request at an engine.
 
-    ``on_part`` is called with every event, ``on_end`` with whether the
-    answer was whole. What it fetches comes ``fetch_delay`` seconds later
-    than its bytes take.
+    ``on_output`` is called for every event, ``on_end`` with whether the
+    response was complete. A prefix fetched from ``fetch_from`` takes
+    ``fetch_delay`` seconds in addition to its transfer.
     """
 
     prompt: Prompt
@@ -32,36 +31,36 @@
     output_tokens: int
     fetch_from: "SimulatedEngine | None"
     fetch_delay: float = 0.0
-    on_part: Callable[[], None]
+    on_output: Callable[[], None]
     on_end: Callable[[bool], None]
-    unread: int = 0
-    position: int = 0
-    written: int = 0
+    prefill_tokens_left: int = 0
+    context_tokens: int = 0
+    generated_tokens: int = 0
     ready_at: float = 0.0
     order: int = 0
     memory: int = 0
     is_cancelled: bool = field(default=False)
 
     @property
-    def is_reading(self) -> bool:
-        """Say whether some of its prompt is still to be read."""
-        return self.unread > 0 or self.written == 0
+    def is_prefilling(self) -> bool:
+        """Return whether the job has not generated a token yet."""
+        return self.prefill_tokens_left > 0 or self.generated_tokens == 0
 
 
 class SimulatedEngine:
-    """One engine; it is dead once ``crash`` was called."""
+    """One engine; ``crash`` stops it for good."""
 
     def __init__(
         self, *, endpoint_id: str, shape: Shape, schedule: Schedule
     ) -> None:
-        """Create an idle engine with an empty memory."""
+        """Create an idle engine with an empty cache."""
         self.endpoint_id = endpoint_id
         self.shape = shape
         self.is_dead = False
         self.tokens_by_part: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
-        self.read_tokens = 0
+        self.prefilled_tokens = 0
         self.events = 0
         self._schedule = schedule
         self._order = itertools.count()
@@ -71,7 +70,7 @@
         self._is_stepping = False
 
     def submit(self, job: Job) -> None:
-        """Take a request; a dead engine refuses it."""
+        """Enqueue a request; a crashed engine fails it at once."""
         if self.is_dead:
             job.on_end(False)
             return
@@ -80,7 +79,7 @@
         self._wake()
 
     def crash(self) -> None:
-        """End at once; all that is here is lost."""
+        """Crash: fail all requests and drop the cache."""
         self.is_dead = True
         jobs = self._running + [job for *_, job in self._queue]
         self._running, self._queue = [], []
@@ -88,8 +87,8 @@
         for job in jobs:
             job.on_end(False)
 
-    def held_tokens(self, prompt: Prompt) -> int:
-        """Return what is held of a prompt, from its first part on."""
+    def cached_tokens(self, prompt: Prompt) -> int:
+        """Return the length of the cached prefix of a prompt."""
         total = 0
         for part in prompt.parts:
             tokens = self.tokens_by_part.get(part.part_id, 0)
@@ -112,70 +111,71 @@
             self._is_stepping = False
             return
         now = self._schedule.now
-        reading = [j for j in self._running if j.is_reading]
-        ready = [j for j in reading if j.ready_at <= now]
-        writing = [j for j in self._running if not j.is_reading]
+        prefilling = [j for j in self._running if j.is_prefilling]
+        ready = [j for j in prefilling if j.ready_at <= now]
+        decoding = [j for j in self._running if not j.is_prefilling]
         if ready:
-            self._read_beside(ready, writing)
-        elif writing:
-            self._write(writing, reading)
+            self._prefill(ready, decoding)
+        elif decoding:
+            self._decode(decoding, prefilling)
         else:
-            self._schedule.at(min(j.ready_at for j in reading), self._step)
+            self._schedule.at(min(j.ready_at for j in prefilling), self._step)
 
-    def _read_beside(self, ready: list[Job], writing: list[Job]) -> None:
+    def _prefill(self, ready: list[Job], decoding: list[Job]) -> None:
         shape = self.shape
         left, seconds, done = shape.chunk_tokens, shape.step_seconds, []
         for job in sorted(ready, key=lambda j: (j.rank, j.order)):
-            tokens = min(left, job.unread)
-            pairs = tokens * (job.position + tokens / 2)
+            tokens = min(left, job.prefill_tokens_left)
+            pairs = tokens * (job.context_tokens + tokens / 2)
             seconds += tokens * shape.token_seconds
             seconds += pairs * shape.pair_seconds
-            job.unread -= tokens
-            job.position += tokens
-            self.read_tokens += tokens
+            job.prefill_tokens_left -= tokens
+            job.context_tokens += tokens
+            self.prefilled_tokens += tokens
             left -= tokens
-            if not job.unread:
+            if not job.prefill_tokens_left:
                 done.append(job)
             if not left:
                 break
 
         def finish() -> None:
             for job in done:
-                self._remember(job.prompt)
-            self._hand_out(writing + done, 1)
+                self._cache_prompt(job.prompt)
+            self._emit_tokens(decoding + done, 1)
             self._step()
 
         self._schedule.after(seconds, finish)
 
-    def _write(self, writing: list[Job], reading: list[Job]) -> None:
-        """Write some tokens at once, up to the next thing to happen."""
+    def _decode(self, decoding: list[Job], prefilling: list[Job]) -> None:
+        """Decode several steps at once, up to the next event."""
         stride = self.shape.tokens_an_event
         steps = min(
-            min(stride, job.output_tokens - job.written) for job in writing
+            min(stride, job.output_tokens - job.generated_tokens)
+            for job in decoding
         )
-        steps = 1 if reading else max(1, steps)
+        steps = 1 if prefilling else max(1, steps)
 
         def finish() -> None:
-            self._hand_out(writing, steps)
+            self._emit_tokens(decoding, steps)
             self._step()
 
         self._schedule.after(steps * self.shape.step_seconds, finish)
 
-    def _hand_out(self, jobs: list[Job], steps: int) -> None:
+    def _emit_tokens(self, jobs: list[Job], steps: int) -> None:
         stride = self.shape.tokens_an_event
         for job in jobs:
             if job.is_cancelled or self.is_dead:
                 continue
-            before = job.written
-            job.written = min(job.output_tokens, before + steps)
-            is_whole = job.written >= job.output_tokens
+            before = job.generated_tokens
+            job.generated_tokens = min(job.output_tokens, before + steps)
+            is_complete = job.generated_tokens >= job.output_tokens
             if (
                 not before
-                or is_whole
-                or before // stride < (job.written // stride)
+                or is_complete
+                or before // stride < (job.generated_tokens // stride)
             ):
-                job.on_part()
-            if is_whole:
+                job.on_output()
+            if is_complete:
                 self._running.remove(job)
                 job.on_end(True)
 
@@ -190,50 +190,50 @@
             if self._running and used + job.memory > self.shape.memory_tokens:
                 return
             heapq.heappop(self._queue)
-            self._begin(job)
+            self._start(job)
 
-    def _begin(self, job: Job) -> None:
-        held = self.held_tokens(job.prompt)
-        self._touch(job.prompt)
-        holder = job.fetch_from
+    def _start(self, job: Job) -> None:
+        cached = self.cached_tokens(job.prompt)
+        self._mark_used(job.prompt)
+        source = job.fetch_from
         job.ready_at = self._schedule.now
-        if holder is not None and not holder.is_dead:
-            more = holder.held_tokens(job.prompt) - held
-            if more > 0:
-                held += more
-                job.ready_at = holder.lend(more) + job.fetch_delay
-        held = min(held, job.prompt.tokens - 1)
-        job.position = held
-        job.unread = job.prompt.tokens - held
+        if source is not None and not source.is_dead:
+            fetched = source.cached_tokens(job.prompt) - cached
+            if fetched > 0:
+                cached += fetched
+                job.ready_at = source.transfer(fetched) + job.fetch_delay
+        cached = min(cached, job.prompt.tokens - 1)
+        job.context_tokens = cached
+        job.prefill_tokens_left = job.prompt.tokens - cached
         self._running.append(job)
 
-    def lend(self, tokens: int) -> float:
-        """Send what is held over the link; return when it has arrived."""
-        begin = max(self._schedule.now, self._link_free_at)
-        self._link_free_at = begin + tokens * self.shape.fetch_token_seconds
+    def transfer(self, tokens: int) -> float:
+        """Send a cached prefix over the link; return its time of arrival."""
+        start_at = max(self._schedule.now, self._link_free_at)
+        self._link_free_at = start_at + tokens * self.shape.fetch_token_seconds
         return self._link_free_at
 
-    def _touch(self, prompt: Prompt) -> None:
+    def _mark_used(self, prompt: Prompt) -> None:
         for part in prompt.parts:
             if part.part_id in self.tokens_by_part:
                 self.tokens_by_part.move_to_end(part.part_id)
 
-    def _remember(self, prompt: Prompt) -> None:
+    def _cache_prompt(self, prompt: Prompt) -> None:
         self.events += 1
         for part in prompt.parts:
             self.tokens_by_part[part.part_id] = part.tokens
             self.tokens_by_part.move_to_end(part.part_id)
         used = sum(job.memory for job in self._running)
-        room = max(0, self.shape.memory_tokens - used)
-        # What runs holds its own parts as well; these are counted once.
+        free_tokens = max(0, self.shape.memory_tokens - used)
+        # Parts of running requests are part of their memory already.
         in_use = {p.part_id for j in self._running for p in j.prompt.parts}
-        kept = sum(
+        unused_tokens = sum(
             tokens
             for part_id, tokens in self.tokens_by_part.items()
             if part_id not in in_use
         )
         for part_id in list(self.tokens_by_part):
-            if kept <= room:
+            if unused_tokens <= free_tokens:
                 break
             if part_id not in in_use:
-                kept -= self.tokens_by_part.pop(part_id)
+                unused_tokens -= self.tokens_by_part.pop(part_id)
--- a/scripts/experiment/passed/loads.py
+++ b/scripts/experiment/passed/loads.py
@@ -1,4 +1,4 @@
-"""Days of requests: peaks that move, bursts, lost engines, restarts."""
+"""Loads over time: moving peaks, bursts, engine crashes, restarts."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -7,20 +7,20 @@
 
 from burdockdrum.passthrough.prompts import Prompt
 from burdockdrum.passthrough.prompts import PromptPart
-from scripts.experiment.passed.shapes import Kind
 from scripts.experiment.passed.shapes import Mix
-from scripts.experiment.passed.shapes import stretch_kind
+from scripts.experiment.passed.shapes import RequestKind
+from scripts.experiment.passed.shapes import scale_kind
 
 REGIONS = ("east", "north", "west")
-BURST_TIMES = 2.5
+BURST_FACTOR = 2.5
 
 
 @dataclass(frozen=True, kw_only=True)
-class Happening:
-    """Something that goes wrong: engines that crash, entries that restart.
+class Incident:
+    """A failure: engines that crash or entries that restart.
 
-    ``count`` engines of the first region are lost for good; a restart takes
-    all entries away for ``seconds``, and with them all that they knew.
+    A crash stops ``count`` engines of the first region for good; a restart
+    stops all entries for ``seconds`` and drops their state.
     """
 
     at: float
@@ -31,11 +31,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Day:
-    """A load over time; ``level`` is its mean against the usual one.
+    """A load over time; ``level`` scales the rates of the mix.
 
-    Each region's load follows a wave of ``period`` seconds that peaks at
-    ``peak`` times the mean, later in one region than in another; in
-    ``burst`` it is ``BURST_TIMES`` as high everywhere.
+    The load of each region is a sine wave of ``period`` seconds that peaks
+    at ``peak`` times the mean, with a phase shift between regions. Between
+    the two times of ``burst`` it is multiplied by ``BURST_FACTOR``.
     """
 
     name: str
@@ -44,32 +44,32 @@
     peak: float = 1.6
     period: float = 24.0
     burst: tuple[float, float] = (0.0, 0.0)
-    happenings: tuple[Happening, ...] = ()
+    incidents: tuple[Incident, ...] = ()
 
     def factor(self, region: int, moment: float) -> float:
-        """Return the load of a region at a moment against its mean."""
-        turn = moment / self.period - region / len(REGIONS)
-        wave = 1 + (self.peak - 1) * math.sin(2 * math.pi * turn)
+        """Return the load of a region at a time, relative to its mean."""
+        phase = moment / self.period - region / len(REGIONS)
+        daily_factor = 1 + (self.peak - 1) * math.sin(2 * math.pi * phase)
         in_burst = self.burst[0] <= moment < self.burst[1]
-        return self.level * wave * (BURST_TIMES if in_burst else 1.0)
+        return self.level * daily_factor * (BURST_FACTOR if in_burst else 1.0)
 
-    def stretched(self, times: float) -> "Day":
-        """Return the same day in slow motion."""
+    def scaled(self, time_scale: float) -> "Day":
+        """Return the day with all times multiplied."""
         return Day(
             name=self.name,
-            seconds=self.seconds * times,
+            seconds=self.seconds * time_scale,
             level=self.level,
             peak=self.peak,
-            period=self.period * times,
-            burst=(self.burst[0] * times, self.burst[1] * times),
-            happenings=tuple(
-                Happening(
-                    at=happening.at * times,
-                    kind=happening.kind,
-                    count=happening.count,
-                    seconds=happening.seconds * times,
+            period=self.period * time_scale,
+            burst=(self.burst[0] * time_scale, self.burst[1] * time_scale),
+            incidents=tuple(
+                Incident(
+                    at=incident.at * time_scale,
+                    kind=incident.kind,
+                    count=incident.count,
+                    seconds=incident.seconds * time_scale,
                 )
-                for happening in self.happenings
+                for incident in self.incidents
             ),
         )
 
@@ -83,15 +83,15 @@
             name="burst and lost engines",
             level=1.5,
             burst=(10.0, 12.5),
-            happenings=(
-                Happening(at=8.0, kind="crash", count=2),
-                Happening(at=9.0, kind="crash", count=1),
+            incidents=(
+                Incident(at=8.0, kind="crash", count=2),
+                Incident(at=9.0, kind="crash", count=1),
             ),
         ),
         Day(
             name="full stop",
             level=1.5,
-            happenings=(Happening(at=15.0, kind="restart", seconds=2.0),),
+            incidents=(Incident(at=15.0, kind="restart", seconds=2.0),),
         ),
     )
 }
@@ -99,49 +99,49 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Arrival:
-    """One request that a caller sends."""
+    """One request of a caller."""
 
     at: float
     region: str
-    kind: Kind
+    kind: RequestKind
     prompt: Prompt
     output_tokens: int
 
 
 def make_arrivals(
-    day: Day, mix: Mix, seed: int, times: float = 1.0
+    day: Day, mix: Mix, seed: int, time_scale: float = 1.0
 ) -> Iterator[Arrival]:
-    """Draw the requests of a day, in the order of time.
+    """Yield the requests of a day in order of time.
 
-    :param times: how much slower everything is
+    :param time_scale: factor of all times
     """
     rng = random.Random(seed)
-    kinds = [stretch_kind(kind, times) for kind in mix.kinds]
-    moment, slow_day = 0.0, day.stretched(times)
-    most = (
-        BURST_TIMES * day.level * day.peak * sum(kind.rate for kind in kinds)
+    kinds = [scale_kind(kind, time_scale) for kind in mix.kinds]
+    moment, scaled_day = 0.0, day.scaled(time_scale)
+    max_rate = (
+        BURST_FACTOR * day.level * day.peak * sum(kind.rate for kind in kinds)
     )
     number = 0
     while True:
-        moment += rng.expovariate(most)
-        if moment >= slow_day.seconds:
+        moment += rng.expovariate(max_rate)
+        if moment >= scaled_day.seconds:
             return
         kind = rng.choices(kinds, weights=[k.rate for k in kinds])[0]
         index = rng.randrange(len(REGIONS))
-        share = slow_day.factor(index, moment) / (
-            BURST_TIMES * day.level * day.peak
+        acceptance_rate = scaled_day.factor(index, moment) / (
+            BURST_FACTOR * day.level * day.peak
         )
-        accepted = rng.random() < share
+        accepted = rng.random() < acceptance_rate
         number += 1
-        arrival = _draw(rng, moment, REGIONS[index], kind, number)
+        arrival = _draw_arrival(rng, moment, REGIONS[index], kind, number)
         if accepted:
             yield arrival
 
 
-def _draw(
-    rng: random.Random, at: float, region: str, kind: Kind, number: int
+def _draw_arrival(
+    rng: random.Random, at: float, region: str, kind: RequestKind, number: int
 ) -> Arrival:
-    # Subjects are asked for unevenly: the first of them most.
+    # The popularity of subjects is skewed towards the first.
     subject = min(
         kind.subjects - 1, int(rng.paretovariate(0.6) - 1) % kind.subjects
     )
--- a/scripts/experiment/passed/schedule.py
+++ b/scripts/experiment/passed/schedule.py
@@ -1,4 +1,4 @@
-"""Events in virtual time."""
+"""A discrete-event scheduler with a virtual clock."""
 
 from collections.abc import Callable
 import heapq
@@ -6,10 +6,10 @@
 
 
 class Schedule:
-    """Calls at given moments, earliest first; the clock of all parts."""
+    """Runs callbacks in order of time; also serves as the clock."""
 
     def __init__(self) -> None:
-        """Begin at 0 s."""
+        """Create an empty schedule at 0 s."""
         self.now = 0.0
         self._calls: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
@@ -19,23 +19,23 @@
         return self.now
 
     def wall(self) -> float:
-        """Return the time of day, which is the same here."""
+        """Return the wall time, which equals the monotonic time."""
         return self.now
 
     async def sleep(self, seconds: float) -> None:
-        """Refuse: nothing that is played here waits by itself."""
+        """Raise NotImplementedError: simulated components do not sleep."""
         raise NotImplementedError
 
     def at(self, moment: float, call: Callable[[], None]) -> None:
-        """Call something at a moment."""
+        """Schedule a callback at a time."""
         heapq.heappush(self._calls, (moment, next(self._order), call))
 
     def after(self, seconds: float, call: Callable[[], None]) -> None:
-        """Call something after some seconds."""
+        """Schedule a callback after a delay."""
         self.at(self.now + seconds, call)
 
-    def every(self, seconds: float, call: Callable[[], None]) -> None:
-        """Call something again and again, first after one interval."""
+    def repeat_every(self, seconds: float, call: Callable[[], None]) -> None:
+        """Call repeatedly, for the first time after one interval."""
 
         def repeat() -> None:
             call()
@@ -44,7 +44,7 @@
         self.after(seconds, repeat)
 
     def run(self, until: float) -> None:
-        """Make all calls up to a moment."""
+        """Run all callbacks that are due up to a time."""
         while self._calls and self._calls[0][0] <= until:
             self.now, _, call = heapq.heappop(self._calls)
             call()
--- a/scripts/experiment/passed/shapes.py
+++ b/scripts/experiment/passed/shapes.py
@@ -1,7 +1,7 @@
-"""Engines of several shapes, and the requests that are sent to them.
+"""Performance profiles of engines, and kinds of requests.
 
-All times of a shape can be stretched, so that a test can ask whether a
-decision depends on anything but what is observed.
+All times can be scaled, so that a test can check that decisions depend on
+observations rather than on fixed durations.
 """
 
 from dataclasses import dataclass
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Shape:
-    """What an engine does in how many seconds.
+    """The performance profile of an engine.
 
-    A step writes a token for every request and takes ``step_seconds``; it
-    reads up to ``chunk_tokens`` of a prompt beside that, each for
-    ``token_seconds`` and ``pair_seconds`` for every token before it. Bytes
-    that are fetched take ``fetch_token_seconds`` a token.
+    A step takes ``step_seconds`` and generates a token for every request. It
+    also prefills up to ``chunk_tokens``, each in ``token_seconds`` plus
+    ``pair_seconds`` for every preceding token. Fetching a cached prefix
+    takes ``fetch_token_seconds`` per token.
     """
 
     name: str
@@ -28,26 +28,25 @@
     fetch_token_seconds: float = 1.5e-6
     tokens_an_event: int = 6
 
-    def stretched(self, times: float) -> "Shape":
-        """Return the same engine, that takes so many times as long."""
+    def scaled(self, time_scale: float) -> "Shape":
+        """Return the profile with all times multiplied."""
         return replace(
             self,
-            step_seconds=self.step_seconds * times,
-            token_seconds=self.token_seconds * times,
-            pair_seconds=self.pair_seconds * times,
-            fetch_token_seconds=self.fetch_token_seconds * times,
+            step_seconds=self.step_seconds * time_scale,
+            token_seconds=self.token_seconds * time_scale,
+            pair_seconds=self.pair_seconds * time_scale,
+            fetch_token_seconds=self.fetch_token_seconds * time_scale,
         )
 
 
 @dataclass(frozen=True, kw_only=True)
-class Kind:
+class RequestKind:
     """One kind of request.
 
-    ``shared_tokens`` are the mean of a part that ``subjects`` of them share,
-    ``own_tokens`` and ``output_tokens`` means as well. ``worth`` is earned
-    by an answer whose first part comes within ``objective_seconds`` and
-    whose parts come without a pause of more than ``pause_seconds``; a later
-    one earns ``LATE_PART`` of it.
+    ``shared_tokens``, ``own_tokens`` and ``output_tokens`` are means; there
+    are ``subjects`` different shared prefixes. A response is worth ``worth``
+    if its first event comes within ``objective_seconds`` and no pause is
+    longer than ``pause_seconds``, else ``LATE_WORTH_FRACTION`` of it.
     """
 
     name: str
@@ -63,11 +62,11 @@
     pause_seconds: float = 0.3
 
 
-# What a late answer is worth of one in time.
-LATE_PART = 0.3
+# The worth of a late response relative to one in time.
+LATE_WORTH_FRACTION = 0.3
 
-# Long case files with a beginning that many share, beside short questions.
-FILES = Kind(
+# Long case files with shared prefixes.
+FILES = RequestKind(
     name="file",
     rate=12.5,
     rank=1,
@@ -79,7 +78,7 @@
     deadline_seconds=8.0,
     worth=16.0,
 )
-QUESTIONS = Kind(
+QUESTIONS = RequestKind(
     name="question",
     rate=152.0,
     rank=0,
@@ -91,8 +90,8 @@
     deadline_seconds=4.0,
     worth=1.9,
 )
-# Plans of middling prompts and long outputs.
-PLANS = Kind(
+# Plans with prompts of medium length and long outputs.
+PLANS = RequestKind(
     name="plan",
     rate=40.0,
     rank=1,
@@ -111,8 +110,8 @@
     shape.name: shape
     for shape in (
         _BASE,
-        replace(_BASE.stretched(0.5), name="twice the speed"),
-        replace(_BASE.stretched(2.0), name="half the speed"),
+        replace(_BASE.scaled(0.5), name="twice the speed"),
+        replace(_BASE.scaled(2.0), name="half the speed"),
         replace(_BASE, name="little memory", memory_tokens=120_000),
         replace(_BASE, name="few slots", slots=12),
     )
@@ -121,14 +120,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Mix:
-    """Requests that come together.
-
-    ``load`` is what of all rates is sent at the mean, so that engines of
-    different speed are as busy as each other.
-    """
+    """The kinds of requests in a load."""
 
     name: str
-    kinds: tuple[Kind, ...]
+    kinds: tuple[RequestKind, ...]
 
 
 MIXES = {
@@ -140,12 +135,12 @@
 }
 
 
-def stretch_kind(kind: Kind, times: float) -> Kind:
-    """Return a kind whose times are so many times as long."""
+def scale_kind(kind: RequestKind, time_scale: float) -> RequestKind:
+    """Return the kind with all times multiplied and its rate divided."""
     return replace(
         kind,
-        rate=kind.rate / times,
-        objective_seconds=kind.objective_seconds * times,
-        deadline_seconds=kind.deadline_seconds * times,
-        pause_seconds=kind.pause_seconds * times,
+        rate=kind.rate / time_scale,
+        objective_seconds=kind.objective_seconds * time_scale,
+        deadline_seconds=kind.deadline_seconds * time_scale,
+        pause_seconds=kind.pause_seconds * time_scale,
     )
--- a/scripts/experiment/passed/variants.py
+++ b/scripts/experiment/passed/variants.py
@@ -1,4 +1,4 @@
-"""The policies that are compared: the product's, with parts off, baselines."""
+"""The policies to compare: the product's, its variants and baselines."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -20,29 +20,33 @@
 from burdockdrum.verdicts import RefusalCode
 from burdockdrum.verdicts import Verdict
 
-# What a baseline tells a caller that finds no endpoint.
-_RETRY_SECONDS = 0.5
+# Retry delay that a baseline returns if it has no endpoint.
+_RETRY_AFTER_SECONDS = 0.5
 
 
 @dataclass(frozen=True, kw_only=True)
-class View:
-    """What an entry knows when it chooses without the product's policy."""
+class SelectionView:
+    """The information of an entry that a baseline selects by."""
 
     endpoints: list[RegisteredEndpoint]
     load_of: Callable[[str], Load]
     rng: random.Random
 
 
-Pick = Callable[[View, ProxiedRequest], RegisteredEndpoint]
+Pick = Callable[[SelectionView, ProxiedRequest], RegisteredEndpoint]
 
 
-def pick_random(view: View, request: ProxiedRequest) -> RegisteredEndpoint:
-    """Choose any endpoint."""
+def pick_random(
+    view: SelectionView, request: ProxiedRequest
+) -> RegisteredEndpoint:
+    """Select a random endpoint."""
     return view.rng.choice(view.endpoints)
 
 
-def pick_fewest(view: View, request: ProxiedRequest) -> RegisteredEndpoint:
-    """Choose one with the fewest requests, as far as is known."""
+def pick_fewest(
+    view: SelectionView, request: ProxiedRequest
+) -> RegisteredEndpoint:
+    """Select an endpoint with the fewest known requests."""
     return min(
         view.endpoints,
         key=lambda e: (
@@ -52,16 +56,18 @@
     )
 
 
-def pick_by_hash(view: View, request: ProxiedRequest) -> RegisteredEndpoint:
-    """Choose the one that the shared prefix is hashed to."""
+def pick_by_hash(
+    view: SelectionView, request: ProxiedRequest
+) -> RegisteredEndpoint:
+    """Select the endpoint that the shared prefix is hashed to."""
     by_id = {e.endpoint_id: e for e in view.endpoints}
-    home = choose_prefix_endpoint(request.prompt, list(by_id))
-    return by_id[home] if home else pick_random(view, request)
+    hashed_id = choose_prefix_endpoint(request.prompt, list(by_id))
+    return by_id[hashed_id] if hashed_id else pick_random(view, request)
 
 
 @dataclass(frozen=True, kw_only=True)
 class PolicyVariant:
-    """One row of the table; ``pick`` replaces the product's choice."""
+    """A policy to compare; ``pick`` replaces the product's selection."""
 
     name: str
     mechanisms: MechanismSettings = MechanismSettings()
@@ -75,8 +81,8 @@
 )
 
 
-class BaselinePlacing:
-    """Choose here by one rule; nothing is passed on or refused early."""
+class BaselineSelector:
+    """Selects local endpoints by one rule, without forwarding."""
 
     def __init__(
         self,
@@ -87,7 +93,7 @@
         read_endpoints: Callable[[], dict[str, RegisteredEndpoint]],
         read_load: Callable[[str], Load],
     ) -> None:
-        """Create it for an entry."""
+        """Create the selector of an entry."""
         self._pick = pick
         self._rng = rng
         self._fleet = fleet
@@ -97,7 +103,7 @@
     def select(
         self, request: ProxiedRequest, progress: RequestProgress
     ) -> Target:
-        """Choose an endpoint.
+        """Select an endpoint.
 
         :raises Refusal: if there is none
         """
@@ -109,16 +115,18 @@
         if not endpoints:
             raise Refusal(
                 code=RefusalCode.OVERLOADED,
-                message="no endpoint here",
+                message="no endpoint in this region",
                 verdict=Verdict.NOT_RUN,
-                retry_after=_RETRY_SECONDS,
+                retry_after=_RETRY_AFTER_SECONDS,
             )
-        view = View(endpoints=endpoints, load_of=self._load_of, rng=self._rng)
+        view = SelectionView(
+            endpoints=endpoints, load_of=self._load_of, rng=self._rng
+        )
         endpoint = self._pick(view, request)
-        held = self._fleet.prefix_cache_view.cached_tokens(
+        cached = self._fleet.prefix_cache_view.cached_tokens(
             endpoint.endpoint_id, request.prompt
         )
-        uncached = request.prompt.tokens - held
+        uncached = request.prompt.tokens - cached
         return EndpointTarget(
             choice=RatedEndpoint(
                 endpoint=endpoint,
@@ -136,4 +144,4 @@
         return load
 
 
-Placer = TargetSelector | BaselinePlacing
+Selector = TargetSelector | BaselineSelector
--- a/scripts/experiment/passed/world.py
+++ b/scripts/experiment/passed/world.py
@@ -1,4 +1,4 @@
-"""Regions with entries and engines, and what they tell each other."""
+"""Simulated regions with entries, engines and their messages."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -20,40 +20,40 @@
 from burdockdrum.resources import Backend
 from burdockdrum.resources import Engine
 from scripts.experiment.passed.engine import SimulatedEngine
-from scripts.experiment.passed.loads import Happening
+from scripts.experiment.passed.loads import Incident
 from scripts.experiment.passed.loads import REGIONS
 from scripts.experiment.passed.schedule import Schedule
 from scripts.experiment.passed.shapes import Shape
-from scripts.experiment.passed.variants import BaselinePlacing
-from scripts.experiment.passed.variants import Placer
+from scripts.experiment.passed.variants import BaselineSelector
 from scripts.experiment.passed.variants import PolicyVariant
+from scripts.experiment.passed.variants import Selector
 
 SERVICE = "model"
-ENTRIES_A_REGION = 2
+ENTRIES_PER_REGION = 2
 ENGINES_BY_REGION = {"east": 4, "north": 3, "west": 2}
-# What entries and endpoints tell, and how late, in seconds: the intervals
-# of the product, a millisecond within a region and 55 between two.
-TELL_SECONDS = 0.1
+# The intervals of the product's messages, and the delays of the links within
+# a region and between two.
+LOAD_REPORT_INTERVAL_SECONDS = 0.1
 CAPACITY_INTERVAL_SECONDS = 0.5
-NEWS_SECONDS = 1.0
-NEAR_SECONDS = 0.001
-FAR_SECONDS = 0.055
-# What a fetch from another region takes beside its bytes.
-FAR_FETCH_SECONDS = 0.22
-# An endpoint that is lost is known to be so after a missed check-in.
-NOTICE_SECONDS = 1.0
-_BITS_A_TOKEN = 8 * 100_000
+CACHE_REPORT_INTERVAL_SECONDS = 1.0
+LOCAL_DELAY_SECONDS = 0.001
+CROSS_REGION_DELAY_SECONDS = 0.055
+# Delay of a fetch from another region in addition to its transfer.
+CROSS_REGION_FETCH_DELAY_SECONDS = 0.22
+# Time after which entries notice a missed heartbeat.
+LOSS_DETECTION_DELAY_SECONDS = 1.0
+_BITS_PER_TOKEN = 8 * 100_000
 
 
 @dataclass(kw_only=True, eq=False)
 class Entry:
-    """One entry; ``loads`` are what the others of its region told."""
+    """One entry, with the loads reported by others of its region."""
 
     identity: VmIdentity
     rng: random.Random
     is_up: bool = True
     fleet: Fleet = field(init=False)
-    placing: Placer = field(init=False)
+    selector: Selector = field(init=False)
     prefix_cache_table: PrefixCacheTable = field(init=False)
     loads_by_vm: dict[str, dict[str, list[RankLoad]]] = field(
         default_factory=dict
@@ -61,7 +61,7 @@
     capacities: list[ServiceCapacity] = field(default_factory=list)
 
     def load_of(self, endpoint_id: str) -> Load:
-        """Return what the others have at an endpoint."""
+        """Return the load of the other entries at an endpoint."""
         load = Load()
         for ranks_by_id in self.loads_by_vm.values():
             load.merge(Load.from_ranks(ranks_by_id.get(endpoint_id, [])))
@@ -78,15 +78,15 @@
         variant: PolicyVariant,
         schedule: Schedule,
         seed: int,
-        times: float = 1.0,
+        time_scale: float = 1.0,
     ) -> None:
-        """Create entries and engines; nothing is known of either yet.
+        """Create entries and engines without state.
 
-        :param times: how much slower everything is
+        :param time_scale: factor of all times
         """
         self.schedule = schedule
         self.shape = shape
-        self.times = times
+        self.time_scale = time_scale
         self._variant = variant
         self._rng = random.Random(seed)
         self.backend = Backend(
@@ -94,8 +94,10 @@
             engine=Engine(
                 slots=shape.slots,
                 memory_tokens=shape.memory_tokens,
-                bytes_a_token=_BITS_A_TOKEN // 8,
-                link_megabits=_BITS_A_TOKEN / 1e6 / shape.fetch_token_seconds,
+                bytes_a_token=_BITS_PER_TOKEN // 8,
+                link_megabits=_BITS_PER_TOKEN
+                / 1e6
+                / shape.fetch_token_seconds,
                 tokens_an_event=shape.tokens_an_event,
             ),
         )
@@ -109,7 +111,7 @@
         self.entries = [
             self._make_entry(region, number)
             for region in REGIONS
-            for number in range(ENTRIES_A_REGION)
+            for number in range(ENTRIES_PER_REGION)
         ]
         self.entries_by_address = {
             entry.identity.http_address: entry for entry in self.entries
@@ -121,24 +123,33 @@
         return list(self.engines_by_id.values())
 
     def live_entries(self, region: str) -> list[Entry]:
-        """Return the entries of a region that take requests."""
+        """Return the entries of a region that accept requests."""
         return [
             entry
             for entry in self.entries
             if entry.identity.region == region and entry.is_up
         ]
 
-    def start(self, happenings: tuple[Happening, ...]) -> None:
-        """Begin to tell each other, and let things happen."""
-        every = self.schedule.every
+    def start(self, incidents: tuple[Incident, ...]) -> None:
+        """Start the periodic messages and schedule the incidents."""
+        repeat_every = self.schedule.repeat_every
         for entry in self.entries:
-            delay = self._rng.random() * TELL_SECONDS * self.times
-            self.schedule.after(delay, self._make_teller(entry))
-        every(CAPACITY_INTERVAL_SECONDS * self.times, self._send_capacities)
-        every(NEWS_SECONDS * self.times, self._tell_holdings)
-        for happening in happenings:
-            strike = functools.partial(self._strike, happening)
-            self.schedule.at(happening.at, strike)
+            delay = (
+                self._rng.random()
+                * LOAD_REPORT_INTERVAL_SECONDS
+                * self.time_scale
+            )
+            self.schedule.after(delay, self._make_load_sender(entry))
+        repeat_every(
+            CAPACITY_INTERVAL_SECONDS * self.time_scale, self._send_capacities
+        )
+        repeat_every(
+            CACHE_REPORT_INTERVAL_SECONDS * self.time_scale,
+            self._send_cached_prefixes,
+        )
+        for incident in incidents:
+            start_incident = functools.partial(self._start_incident, incident)
+            self.schedule.at(incident.at, start_incident)
 
     def _add_engine(self, region: str, name: str) -> None:
         self.engines_by_id[name] = SimulatedEngine(
@@ -173,7 +184,7 @@
         return entry
 
     def _start_entry(self, entry: Entry) -> None:
-        """Give an entry a policy that knows nothing yet."""
+        """Start or restart an entry with empty state."""
         region = entry.identity.region
         endpoints = self._endpoints_by_region[region]
         entry.prefix_cache_table = PrefixCacheTable()
@@ -184,13 +195,15 @@
             rng=entry.rng,
             read_endpoints=lambda: endpoints,
             read_load=entry.load_of,
-            read_load_age=lambda: TELL_SECONDS * self.times,
+            read_load_age=lambda: (
+                LOAD_REPORT_INTERVAL_SECONDS * self.time_scale
+            ),
             prefix_cache_table=entry.prefix_cache_table,
             read_region=lambda name: name,
             mechanisms=self._variant.mechanisms,
         )
         if self._variant.pick is not None:
-            entry.placing = BaselinePlacing(
+            entry.selector = BaselineSelector(
                 pick=self._variant.pick,
                 rng=entry.rng,
                 fleet=entry.fleet,
@@ -198,7 +211,7 @@
                 read_load=entry.load_of,
             )
             return
-        entry.placing = TargetSelector(
+        entry.selector = TargetSelector(
             clock=self.schedule,
             rng=entry.rng,
             fleet=entry.fleet,
@@ -212,26 +225,30 @@
             mechanisms=self._variant.mechanisms,
         )
 
-    def _make_teller(self, entry: Entry) -> Callable[[], None]:
-        def tell() -> None:
-            self._tell_load(entry)
-            self.schedule.after(TELL_SECONDS * self.times, tell)
+    def _make_load_sender(self, entry: Entry) -> Callable[[], None]:
+        def send() -> None:
+            self._send_load(entry)
+            self.schedule.after(
+                LOAD_REPORT_INTERVAL_SECONDS * self.time_scale, send
+            )
 
-        return tell
+        return send
 
-    def _tell_load(self, entry: Entry) -> None:
+    def _send_load(self, entry: Entry) -> None:
         if not entry.is_up:
             return
         load = entry.fleet.read_own_load()
         placed = entry.fleet.prefix_cache_view.pop_notices()
         for other in self.live_entries(entry.identity.region):
             if other is not entry:
-                hear = functools.partial(
-                    self._hear, other, entry, load, placed
+                deliver = functools.partial(
+                    self._receive_load, other, entry, load, placed
+                )
+                self.schedule.after(
+                    LOCAL_DELAY_SECONDS * self.time_scale, deliver
                 )
-                self.schedule.after(NEAR_SECONDS * self.times, hear)
 
-    def _hear(
+    def _receive_load(
         self,
         other: Entry,
         entry: Entry,
@@ -244,11 +261,13 @@
     def _send_capacities(self) -> None:
         capacities = [self._sum_capacity(region) for region in REGIONS]
 
-        def hear() -> None:
+        def deliver() -> None:
             for entry in self.entries:
                 entry.capacities = capacities
 
-        self.schedule.after(FAR_SECONDS * self.times, hear)
+        self.schedule.after(
+            CROSS_REGION_DELAY_SECONDS * self.time_scale, deliver
+        )
 
     def _sum_capacity(self, region: str) -> ServiceCapacity:
         load = Load()
@@ -264,20 +283,28 @@
             load.ranks(),
         )
 
-    def _tell_holdings(self) -> None:
-        """Let each engine say what it holds, near at once and far later."""
+    def _send_cached_prefixes(self) -> None:
+        """Send the cached prefixes of each engine to all entries."""
         if not self._variant.mechanisms.endpoint_holdings:
             return
         for region, endpoints in self._endpoints_by_region.items():
             for endpoint in endpoints.values():
                 change = self._read_change(endpoint)
                 for entry in self.entries:
-                    is_near = entry.identity.region == region
-                    seconds = NEAR_SECONDS if is_near else FAR_SECONDS
-                    take = functools.partial(self._take, entry, change)
-                    self.schedule.after(seconds * self.times, take)
-
-    def _take(self, entry: Entry, change: PrefixCacheChange) -> None:
+                    is_local = entry.identity.region == region
+                    seconds = (
+                        LOCAL_DELAY_SECONDS
+                        if is_local
+                        else CROSS_REGION_DELAY_SECONDS
+                    )
+                    apply_change = functools.partial(
+                        self._apply_change, entry, change
+                    )
+                    self.schedule.after(
+                        seconds * self.time_scale, apply_change
+                    )
+
+    def _apply_change(self, entry: Entry, change: PrefixCacheChange) -> None:
         entry.prefix_cache_table.apply(change, self.schedule.now)
 
     def _read_change(self, endpoint: RegisteredEndpoint) -> PrefixCacheChange:
@@ -296,30 +323,34 @@
             is_snapshot=True,
         )
 
-    def _strike(self, happening: Happening) -> None:
-        match happening.kind:
+    def _start_incident(self, incident: Incident) -> None:
+        match incident.kind:
             case "crash":
-                self._crash(happening.count)
+                self._crash(incident.count)
             case "restart":
                 self._stop_entries()
-                self.schedule.after(happening.seconds, self._return_entries)
+                self.schedule.after(incident.seconds, self._restart_entries)
 
     def _crash(self, count: int) -> None:
         region = REGIONS[0]
         endpoints = self._endpoints_by_region[region]
         for name in list(endpoints)[:count]:
             self.engines_by_id[name].crash()
-            forget = functools.partial(self._forget, region, name)
-            self.schedule.after(NOTICE_SECONDS * self.times, forget)
+            remove_endpoint = functools.partial(
+                self._remove_endpoint, region, name
+            )
+            self.schedule.after(
+                LOSS_DETECTION_DELAY_SECONDS * self.time_scale, remove_endpoint
+            )
 
-    def _forget(self, region: str, name: str) -> None:
+    def _remove_endpoint(self, region: str, name: str) -> None:
         self._endpoints_by_region[region].pop(name, None)
 
     def _stop_entries(self) -> None:
         for entry in self.entries:
             entry.is_up = False
 
-    def _return_entries(self) -> None:
+    def _restart_entries(self) -> None:
         for entry in self.entries:
             self._start_entry(entry)
             entry.is_up = True
--- a/scripts/experiment/policies.py
+++ b/scripts/experiment/policies.py
@@ -1,4 +1,4 @@
-"""The product's policy and the baselines that it is measured against."""
+"""The product's policy and the baselines to compare it with."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -21,11 +21,11 @@
 from scripts.experiment.workload import User
 
 
-class OpenAdmission:
-    """Admit all at once, as the baselines do."""
+class UnlimitedAdmission:
+    """Admission control of the baselines, without a limit."""
 
     def __init__(self, **_: Any) -> None:
-        """Take the arguments of an admission and use none."""
+        """Accept and ignore the arguments of AdmissionControl."""
         self.running = 0
 
     async def admit(self, client_id: str, request: RoutingRequest) -> Permit:
@@ -34,19 +34,19 @@
         return Permit(admission=self)  # type: ignore[arg-type]
 
     def release(self, reservation: Any, tokens: int) -> None:
-        """Count a request that ended."""
+        """Release the permit of a completed request."""
         self.running -= 1
 
     async def run(self) -> None:
         """Do nothing."""
 
     def queue_seconds(self, service: str) -> float:
-        """Return that nothing waits."""
+        """Return 0, as requests never wait."""
         return 0.0
 
 
 class Baseline(Router):
-    """What the baselines share: reports as they come, no learning."""
+    """Base class of routers that use the latest reports as they are."""
 
     def __init__(self, **options: Any) -> None:
         """Create a router."""
@@ -54,33 +54,33 @@
         self._turns = itertools.count()
 
     def choose(self, request: RoutingRequest) -> Choice:
-        """Say where a request should go now."""
-        here = self._here(request)
+        """Select an endpoint or another data centre for a request."""
+        here = self._local_endpoints(request)
         if here:
             return ToEndpoint(endpoint=self.pick(here))
         if request.hops:
             return Unroutable(message="no endpoint")
-        return self._go_to_any(request)
+        return self._forward_to_any(request)
 
     def free_capacity(self, service: str) -> float:
-        """Return the free slots by the last reports."""
+        """Return the free slots according to the latest reports."""
         return sum(
             max(0, e.slots - e.running - e.waiting)
             for e in self._endpoints.candidates(service)
         )
 
     def pick(self, endpoints: list[Endpoint]) -> Endpoint:
-        """Choose among the endpoints here."""
+        """Select one of the local endpoints."""
         return self._rng.choice(endpoints)
 
-    def _here(self, request: RoutingRequest) -> list[Endpoint]:
+    def _local_endpoints(self, request: RoutingRequest) -> list[Endpoint]:
         return [
             endpoint
             for endpoint in self._endpoints.candidates(request.service)
             if endpoint.endpoint_id not in request.excluded_endpoints
         ]
 
-    def _rooms(self, request: RoutingRequest) -> dict[str, int]:
+    def _remote_free_slots(self, request: RoutingRequest) -> dict[str, int]:
         own = self._vms.identity.data_centre
         return {
             view.identity.data_centre: summary.room
@@ -92,13 +92,13 @@
             and view.identity.data_centre not in request.excluded_data_centres
         }
 
-    def _go_to_any(self, request: RoutingRequest) -> Choice:
-        rooms = self._rooms(request)
-        if not rooms:
+    def _forward_to_any(self, request: RoutingRequest) -> Choice:
+        free_slots = self._remote_free_slots(request)
+        if not free_slots:
             return Unroutable(message="no data centre")
-        return self._go_to(self._rng.choice(sorted(rooms)))
+        return self._forward_to(self._rng.choice(sorted(free_slots)))
 
-    def _go_to(self, data_centre: str) -> ToDataCentre:
+    def _forward_to(self, data_centre: str) -> ToDataCentre:
         entries = [
             view.identity
             for view in self._vms.live_vms()[1:]
@@ -109,31 +109,37 @@
 
 
 class RandomRouter(Baseline):
-    """Any endpoint here; elsewhere only where there is none."""
+    """Selects a random local endpoint; forwards only if there is none."""
 
 
 class RoundRobinRouter(Baseline):
-    """Each endpoint here in its turn; elsewhere only where there is none."""
+    """Selects local endpoints in rotation; forwards if there is none."""
 
     def pick(self, endpoints: list[Endpoint]) -> Endpoint:
-        """Choose the next."""
+        """Select the next endpoint in rotation."""
         return endpoints[next(self._turns) % len(endpoints)]
 
 
 class LeastLoadRouter(Baseline):
-    """Least reported load here; where no room is reported, elsewhere."""
+    """Selects by least reported load; forwards without free capacity."""
 
     def choose(self, request: RoutingRequest) -> Choice:
-        """Say where a request should go now."""
-        here = self._here(request)
+        """Select an endpoint or another data centre for a request."""
+        here = self._local_endpoints(request)
         full = all(e.running + e.waiting >= e.slots for e in here)
-        rooms = self._rooms(request)
-        if not request.hops and full and max(rooms.values(), default=0) > 0:
-            return self._go_to(max(rooms, key=lambda name: rooms[name]))
+        free_slots = self._remote_free_slots(request)
+        if (
+            not request.hops
+            and full
+            and max(free_slots.values(), default=0) > 0
+        ):
+            return self._forward_to(
+                max(free_slots, key=lambda name: free_slots[name])
+            )
         return super().choose(request)
 
     def pick(self, endpoints: list[Endpoint]) -> Endpoint:
-        """Choose the least loaded by reports."""
+        """Select the endpoint with the least reported load."""
         return min(
             endpoints,
             key=lambda e: ((e.running + e.waiting) / e.slots, self._tie()),
@@ -144,47 +150,51 @@
 
 
 class LocalRouter(LeastLoadRouter):
-    """Least reported load here, and nowhere else."""
+    """Selects by least reported load and never forwards."""
 
     def choose(self, request: RoutingRequest) -> Choice:
-        """Say where a request should go now."""
-        here = self._here(request)
+        """Select an endpoint or another data centre for a request."""
+        here = self._local_endpoints(request)
         if not here:
-            return Unroutable(message="no endpoint here")
+            return Unroutable(message="no local endpoint")
         return ToEndpoint(endpoint=self.pick(here))
 
 
 class AlwaysSpillRouter(LeastLoadRouter):
-    """The data centre with the most room, wherever it is."""
+    """Selects the data centre with the most free capacity."""
 
     def choose(self, request: RoutingRequest) -> Choice:
-        """Say where a request should go now."""
-        here = self._here(request)
-        rooms = self._rooms(request)
-        own_room = sum(e.slots - e.running - e.waiting for e in here)
-        best = max(rooms, key=lambda name: rooms[name], default=None)
-        if not request.hops and best and (rooms[best] > own_room or not here):
-            return self._go_to(best)
+        """Select an endpoint or another data centre for a request."""
+        here = self._local_endpoints(request)
+        free_slots = self._remote_free_slots(request)
+        local_free_slots = sum(e.slots - e.running - e.waiting for e in here)
+        best = max(free_slots, key=lambda name: free_slots[name], default=None)
+        if (
+            not request.hops
+            and best
+            and (free_slots[best] > local_free_slots or not here)
+        ):
+            return self._forward_to(best)
         return Baseline.choose(self, request)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Policy:
-    """A router and an admission to run the experiment with."""
+    """A router and an admission control to compare."""
 
     name: str
     router: Callable[..., Router]
-    admission: Callable[..., Any] = OpenAdmission
+    admission: Callable[..., Any] = UnlimitedAdmission
     changes: dict[str, Any] = field(default_factory=dict)
 
     def settings_for(self, user: User) -> PolicySettings:
-        """Return the settings that the user would run with."""
+        """Return the policy settings for a user."""
         settings = PolicySettings(prefer=user.prefer)  # type: ignore
         return msgspec.structs.replace(settings, **self.changes)
 
 
 def product(name: str = "burdockdrum", **changes: Any) -> Policy:
-    """Return the product's policy, with settings changed."""
+    """Return the product's policy with changed settings."""
     return Policy(
         name=name, router=Router, admission=AdmissionControl, changes=changes
     )
--- a/scripts/experiment/report.py
+++ b/scripts/experiment/report.py
@@ -1,11 +1,11 @@
-"""Show results as a table and as a plot."""
+"""Format results as a table and as a plot."""
 
 import pathlib
 
 from scripts.experiment.measure import Result
 from scripts.experiment.scenarios import SCENARIOS
 
-_HEADS = (
+_COLUMNS = (
     ("policy", 16),
     ("sent", 6),
     ("whole", 7),
@@ -24,14 +24,14 @@
 
 
 def format_table(results: list[Result]) -> str:
-    """Return the table of all results, a part for each scenario."""
+    """Return a table of the results for each user and scenario."""
     lines = []
     parts = {(r.user, r.scenario): None for r in results}
     for user, scenario in parts:
         title = SCENARIOS[scenario].title
         lines.append(f"\n{user}: {title}")
-        heads = [f"{name:>{width}}" for name, width in _HEADS]
-        lines.append("".join(heads) + "  refused")
+        headings = [f"{name:>{width}}" for name, width in _COLUMNS]
+        lines.append("".join(headings) + "  refused")
         lines.extend(
             _format_row(r)
             for r in results
@@ -41,7 +41,7 @@
 
 
 def draw_plot(results: list[Result], path: pathlib.Path) -> None:
-    """Draw the p99 to the first token and to the end."""
+    """Draw the p99 of the times to the first token and to the end."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/scripts/experiment/scenarios.py
+++ b/scripts/experiment/scenarios.py
@@ -1,4 +1,4 @@
-"""What happens during a run."""
+"""Scenarios: loads over time and failures of endpoints."""
 
 from dataclasses import dataclass
 
@@ -14,13 +14,13 @@
     load: float
 
     def __call__(self, region_index: int, now: float) -> float:
-        """Return the share."""
+        """Return the load as a fraction of capacity."""
         return self.load
 
 
 @dataclass(frozen=True, kw_only=True)
 class Peak(LoadOf):
-    """A peak in the first region for a while."""
+    """A temporary peak in the first region."""
 
     load: float
     peak: float
@@ -28,27 +28,28 @@
     end: float
 
     def __call__(self, region_index: int, now: float) -> float:
-        """Return the share."""
+        """Return the load as a fraction of capacity."""
         in_peak = region_index == 0 and self.begin <= now < self.end
         return self.peak if in_peak else self.load
 
 
 @dataclass(frozen=True, kw_only=True)
 class Event:
-    """Something that happens to endpoints of the first region.
+    """A failure or recovery of endpoints of the first region.
 
-    ``kind`` is ``lose``, ``return`` or the name of a fault; ``all_of_them``
-    is false where only the first endpoint of the main service is struck.
+    ``kind`` is ``lose``, ``return`` or the name of a fault. Unless
+    ``all_in_region`` is set, only the first endpoint of the main service is
+    affected.
     """
 
     at: float
     kind: str
-    all_of_them: bool = False
+    all_in_region: bool = False
 
 
 @dataclass(frozen=True, kw_only=True)
 class Scenario:
-    """A load, what happens meanwhile, and the part that is measured."""
+    """A load with events; outcomes count from ``measure_from`` on."""
 
     name: str
     title: str
@@ -78,8 +79,8 @@
             title="a region's loss and cold return",
             load_of=Steady(load=0.5),
             events=(
-                Event(at=100.0, kind="lose", all_of_them=True),
-                Event(at=200.0, kind="return", all_of_them=True),
+                Event(at=100.0, kind="lose", all_in_region=True),
+                Event(at=200.0, kind="return", all_in_region=True),
             ),
             measure_from=100.0,
         ),
--- a/scripts/experiment/workload.py
+++ b/scripts/experiment/workload.py
@@ -1,4 +1,4 @@
-"""What the two users' callers ask for, as open-loop arrivals."""
+"""The workloads of two users, as open-loop arrivals."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -7,19 +7,19 @@
 
 from burdockdrum.emulator import EngineSettings
 
-# One day of the users, compressed to so many seconds of a run.
+# The period of the daily load curve, compressed to the length of a run.
 DAY_SECONDS = 300.0
-# How far the daily peak rises above the mean.
-PEAK_SHARE = 0.3
+# The daily peak above the mean, as a fraction of the mean.
+DAILY_PEAK_FRACTION = 0.3
 BLOCK_TOKENS = 128
-# The share of requests that residency binds to their home.
-BOUND_SHARE = 0.12
+# The fraction of requests that residency binds to their home region.
+REGION_BOUND_FRACTION = 0.12
 _ZIPF_EXPONENT = 1.1
 
 
 @dataclass(frozen=True, kw_only=True)
 class RequestClass:
-    """One sort of request; ranges are uniform, in tokens."""
+    """A class of requests; ranges are uniform distributions in tokens."""
 
     name: str
     service: str
@@ -34,11 +34,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class User:
-    """A user's regions, runners and mix.
+    """A user's regions, runners and request classes.
 
-    ``runners`` is the number a region of each service. ``capacity`` is the
-    rate in requests a second at which all runners together are full, as
-    measured with ``python -m scripts.experiment.capacity``.
+    ``runners`` gives the runners of each service by region. ``capacity`` is
+    the total rate in requests per second that saturates them, as measured
+    by ``python -m scripts.experiment.capacity``.
     """
 
     name: str
@@ -55,7 +55,7 @@
 class Arrival:
     """One request of a caller in a region.
 
-    ``bound`` is one that may run in no other region.
+    A request that is region-bound may run in no other region.
     """
 
     number: int
@@ -65,7 +65,7 @@
     prefix_hashes: tuple[int, ...]
     prompt_tokens: int
     answer_tokens: int
-    bound: bool
+    is_region_bound: bool
 
 
 def _engine(service: str, slots: int) -> EngineSettings:
@@ -209,10 +209,10 @@
 ) -> Iterator[Arrival]:
     """Yield the arrivals of a run in order of time.
 
-    A Poisson process a region, thinned to its rate at the time, which does
-    not wait for answers: a slow system meets the same arrivals.
+    An open-loop Poisson process per region, thinned to the current rate:
+    arrivals do not depend on the responses.
 
-    :param load_of: the load by region and time as a share of capacity
+    :param load_of: the load by region and time, as a fraction of capacity
     """
     rng = random.Random(seed)
     shares = _capacity_shares(user)
@@ -224,7 +224,9 @@
         if now > seconds:
             return
         index = rng.choices(range(len(user.regions)), shares)[0]
-        rate = load_of(index, now) * _daily(index, now, len(user.regions))
+        rate = load_of(index, now) * _daily_factor(
+            index, now, len(user.regions)
+        )
         if rng.random() * 3.0 > rate:
             continue
         number += 1
@@ -232,10 +234,10 @@
 
 
 class LoadOf:
-    """The load of a region at a time, as a share of its capacity."""
+    """The load of a region at a time, as a fraction of its capacity."""
 
     def __call__(self, region_index: int, now: float) -> float:
-        """Return the share."""
+        """Return the load as a fraction of capacity."""
         raise NotImplementedError
 
 
@@ -244,9 +246,9 @@
     return [count / sum(main) for count in main]
 
 
-def _daily(index: int, now: float, regions: int) -> float:
+def _daily_factor(index: int, now: float, regions: int) -> float:
     phase = now / DAY_SECONDS + index / regions
-    return 1 + PEAK_SHARE * math.sin(2 * math.pi * phase)
+    return 1 + DAILY_PEAK_FRACTION * math.sin(2 * math.pi * phase)
 
 
 def _make_arrival(
@@ -256,7 +258,7 @@
     chosen = rng.choices(classes, [c.share for c in classes])[0]
     document = _zipf(rng, user.documents)
     low, high = chosen.prompt_blocks
-    # The length of a document is its own: all sessions on it share it.
+    # All sessions on a document have the same prefix length.
     blocks = low + (document * 7) % (high - low + 1) if high else 0
     tail = rng.randint(*chosen.tail_tokens)
     base = (index * 1000 + document) * 1000 + 1
@@ -268,7 +270,7 @@
         prefix_hashes=tuple(base + i for i in range(blocks)),
         prompt_tokens=blocks * BLOCK_TOKENS + tail,
         answer_tokens=rng.randint(*chosen.answer_tokens),
-        bound=rng.random() < BOUND_SHARE,
+        is_region_bound=rng.random() < REGION_BOUND_FRACTION,
     )
 
 
--- a/scripts/experiment/world.py
+++ b/scripts/experiment/world.py
@@ -1,8 +1,8 @@
-"""Data centres with entry VMs and engines, in memory.
+"""Data centres with entry VMs and emulated engines in one process.
 
-The routing, the admission and the engines are the product's own. What is
-replaced is named here: summaries and reports are handed over directly with
-the delays of the links, and there is no configuration.
+Routing, admission control and engines are the product's own. Summaries and
+reports are delivered directly with simulated delays; there is no replicated
+configuration.
 """
 
 import asyncio
@@ -29,16 +29,16 @@
 from scripts.experiment.scenarios import Event
 from scripts.experiment.workload import User
 
-LOCAL_SECONDS = 0.001
-WIDE_AREA_SECONDS = 0.055
-CALLER_SECONDS = 0.003
-SUMMARY_SECONDS = 0.5
-ENTRIES_A_REGION = 2
+LOCAL_DELAY_SECONDS = 0.001
+WIDE_AREA_DELAY_SECONDS = 0.055
+CALLER_DELAY_SECONDS = 0.003
+SUMMARY_INTERVAL_SECONDS = 0.5
+ENTRIES_PER_REGION = 2
 
 
 @dataclass(frozen=True, kw_only=True)
 class Directory:
-    """The VMs as one entry VM sees them; filled by the world."""
+    """The VM directory of one entry VM, updated by the world."""
 
     identity: VmIdentity
     others: dict[str, VmView]
@@ -67,7 +67,7 @@
 
 
 class Host:
-    """One endpoint and its announcements."""
+    """One endpoint with its announcements and reports."""
 
     def __init__(
         self,
@@ -108,7 +108,7 @@
                 registry.report(self.endpoint_id, report)
 
     def announce(self) -> None:
-        """Offer the engine to each entry VM of its data centre."""
+        """Announce the engine to each entry VM of its data centre."""
         settings = self.engine.settings
         announcement = Announcement(
             endpoint_id=self.endpoint_id,
@@ -120,8 +120,8 @@
         for registry in self.registries:
             registry.announce(announcement)
 
-    def strike(self, event: Event) -> None:
-        """Let something happen to the engine."""
+    def apply_event(self, event: Event) -> None:
+        """Apply a failure or recovery to the engine."""
         match event.kind:
             case "lose":
                 self.engine.crash()
@@ -142,7 +142,7 @@
         user: User,
         policy: Policy,
         seed: int,
-        entries_a_region: int = ENTRIES_A_REGION,
+        entries_a_region: int = ENTRIES_PER_REGION,
     ) -> None:
         """Create entries and endpoints."""
         self._rng = random.Random(seed)
@@ -177,10 +177,10 @@
             for host in self.hosts_by_id.values():
                 group.create_task(host.run())
             for entry in self.entries:
-                group.create_task(self._summarize(entry))
+                group.create_task(self._send_summaries(entry))
                 group.create_task(entry.admission.run())
             for event in events:
-                group.create_task(self._strike(event))
+                group.create_task(self._apply_event(event))
 
     def _make_entry(self, region: str, number: int, policy: Policy) -> Entry:
         identity = VmIdentity(
@@ -221,21 +221,21 @@
             admission=admission,
         )
 
-    async def _summarize(self, entry: Entry) -> None:
-        # Entries do not tick together.
-        await asyncio.sleep(self._rng.random() * SUMMARY_SECONDS)
+    async def _send_summaries(self, entry: Entry) -> None:
+        # Entries send their summaries at different phases.
+        await asyncio.sleep(self._rng.random() * SUMMARY_INTERVAL_SECONDS)
         while True:
             services = tuple(
                 summary
                 for service in self.user.runners
-                if (summary := _summary(entry, service)) is not None
+                if (summary := _make_summary(entry, service)) is not None
             )
             asyncio.get_running_loop().call_later(
-                WIDE_AREA_SECONDS, self._spread, entry, services
+                WIDE_AREA_DELAY_SECONDS, self._deliver_summary, entry, services
             )
-            await asyncio.sleep(SUMMARY_SECONDS)
+            await asyncio.sleep(SUMMARY_INTERVAL_SECONDS)
 
-    def _spread(
+    def _deliver_summary(
         self, entry: Entry, services: tuple[ServiceSummary, ...]
     ) -> None:
         now = asyncio.get_running_loop().time()
@@ -249,18 +249,18 @@
                     heard_at=now,
                 )
 
-    async def _strike(self, event: Event) -> None:
+    async def _apply_event(self, event: Event) -> None:
         await asyncio.sleep(event.at)
         main = next(iter(self.user.runners))
         prefix = self.user.regions[0]
-        if not event.all_of_them:
+        if not event.all_in_region:
             prefix = f"{prefix}-{main}-0"
         for name, host in self.hosts_by_id.items():
             if name.startswith(prefix):
-                host.strike(event)
+                host.apply_event(event)
 
 
-def _summary(entry: Entry, service: str) -> ServiceSummary | None:
+def _make_summary(entry: Entry, service: str) -> ServiceSummary | None:
     live = entry.registry.candidates(service)
     if not live:
         return None
--- a/tests/experiment/test_passed.py
+++ b/tests/experiment/test_passed.py
@@ -1,8 +1,7 @@
-"""Tests of the policy of passed requests under whole days, without network.
+"""Tests of the policy for proxied requests under simulated days.
 
-Each plays engines, callers and late messages in virtual time; the same seed
-gives the same figures. Margins are a third of what was measured over seeds 0
-to 2, so that a lost mechanism fails and a changed draw does not.
+Each is deterministic for its seed. The margins are wide enough to tolerate a
+different random sequence but not the loss of a mechanism.
 """
 
 from dataclasses import replace
@@ -15,16 +14,16 @@
 from scripts.experiment.passed.engine import Job
 from scripts.experiment.passed.engine import SimulatedEngine
 from scripts.experiment.passed.loads import DAYS
-from scripts.experiment.passed.play import play
 from scripts.experiment.passed.schedule import Schedule
 from scripts.experiment.passed.shapes import MIXES
 from scripts.experiment.passed.shapes import Shape
 from scripts.experiment.passed.shapes import SHAPES
+from scripts.experiment.passed.simulation import simulate_day
 from scripts.experiment.passed.variants import BASELINES
 from scripts.experiment.passed.variants import PolicyVariant
 
 PRODUCT = PolicyVariant(name="product")
-# Each day up to a few seconds after what it is about.
+# Each day ends a few seconds after its incident or peak.
 SECONDS_BY_DAY = {
     "quiet": 8.0,
     "peaks": 10.0,
@@ -35,8 +34,8 @@
 
 @functools.cache
 def result_of(day, mix, variant=PRODUCT, shape="base", seed=0):
-    """Play a day once for all tests that ask for it."""
-    result, _ = play(
+    """Simulate a day once for all tests that use its result."""
+    result, _ = simulate_day(
         day=replace(DAYS[day], seconds=SECONDS_BY_DAY[day]),
         mix=MIXES[mix],
         shape=SHAPES[shape],
@@ -47,14 +46,14 @@
 
 
 def without(name):
-    """Return the product's policy without a mechanism."""
+    """Return the product's policy without one mechanism."""
     return PolicyVariant(
         name=name, mechanisms=MechanismSettings(**{name: False})
     )
 
 
 class EngineTest(unittest.TestCase):
-    """The simulated engine takes the times that its shape says."""
+    """The simulated engine follows its performance profile."""
 
     def setUp(self):
         self.schedule = Schedule()
@@ -76,12 +75,12 @@
                 rank=rank,
                 output_tokens=output,
                 fetch_from=fetch_from,
-                on_part=lambda: self.parts.append((name, self.schedule.now)),
+                on_output=lambda: self.parts.append((name, self.schedule.now)),
                 on_end=lambda whole: self.ends.append((name, whole)),
             )
         )
 
-    def test_first_part_comes_when_the_prompt_is_read(self):
+    def test_first_event_comes_after_the_prefill(self):
         self.submit("a", 5000)
         self.schedule.run(10.0)
         seconds = 10 * 0.004 + 5000 * self.shape.token_seconds
@@ -89,20 +88,20 @@
         self.assertAlmostEqual(seconds, self.parts[0][1])
         self.assertEqual([("a", True)], self.ends)
 
-    def test_beginning_that_is_held_is_not_read_again(self):
+    def test_cached_prefix_is_not_prefilled_again(self):
         self.submit("a", 5000)
         self.schedule.run(10.0)
         self.submit("b", 5000)
         self.schedule.run(20.0)
-        self.assertEqual(5100, self.engine.read_tokens)
+        self.assertEqual(5100, self.engine.prefilled_tokens)
 
-    def test_urgent_prompt_is_read_first(self):
+    def test_urgent_prompt_is_prefilled_first(self):
         self.submit("long", 20_000, rank=1)
         self.submit("urgent", 500, rank=0)
         self.schedule.run(10.0)
         self.assertEqual("urgent", self.parts[0][0])
 
-    def test_crash_ends_everything(self):
+    def test_crash_fails_all_requests(self):
         self.submit("a", 5000)
         self.schedule.run(0.05)
         self.engine.crash()
@@ -110,7 +109,7 @@
         self.schedule.run(10.0)
         self.assertEqual([("a", False), ("b", False)], self.ends)
 
-    def test_memory_bounds_what_runs(self):
+    def test_memory_limits_the_running_requests(self):
         self.engine.shape = replace(self.shape, memory_tokens=12_000)
         for name in "abc":
             self.submit(name, 5000, output=500)
@@ -120,22 +119,19 @@
 
 
 class PolicyTest(unittest.TestCase):
-    """The pattern: long files that share beginnings, short urgent questions.
+    """Long prompts with shared prefixes and short urgent ones.
 
-    Two thirds of the work are files of 17,000 tokens, of which 13,300 are
-    shared by a few dozen; questions of 400 tokens come beside them. Peaks
-    move from one region to the next.
+    Peaks of the load move from one region to the next.
     """
 
-    def test_policy_earns_more_than_the_baselines(self):
-        # Measured at moving peaks: 0.97 against 0.72 to 0.74.
+    def test_policy_has_more_worth_than_the_baselines(self):
         ours = result_of("peaks", "long prompts")
         for baseline in BASELINES:
             theirs = result_of("peaks", "long prompts", baseline)
             self.assertGreater(ours.worth, theirs.worth + 0.08, baseline.name)
 
-    def test_it_does_on_engines_of_other_shapes(self):
-        # Slots or memory that run out first, and half the speed.
+    def test_policy_beats_the_baseline_on_other_engine_shapes(self):
+        # Engines limited by slots or memory, and slower engines.
         fewest = BASELINES[1]
         for shape in ("few slots", "little memory", "half the speed"):
             with self.subTest(shape):
@@ -144,44 +140,41 @@
                 theirs = result_of(day, "long prompts", fewest, shape=shape)
                 self.assertGreater(ours.worth, theirs.worth)
 
-    def test_slow_motion_earns_the_same(self):
-        # All times doubled and all rates halved: what is decided by what was
-        # observed comes out alike. Counted are requests after 8 s, when the
-        # prior is replaced. Measured, two seeds: 0.96 to 1.00 at twice the
-        # speed, 0.97 to 0.98 at the usual one, 0.98 to 0.99 at half of it.
-        worth_by_times = {}
-        for times in (1.0, 2.0):
-            result, _ = play(
+    def test_worth_does_not_depend_on_the_time_scale(self):
+        # Guards against fixed durations in decisions that should depend on
+        # observations. Until 8 s the estimates are still based on priors.
+        worth_by_time_scale = {}
+        for time_scale in (1.0, 2.0):
+            result, _ = simulate_day(
                 day=replace(DAYS["peaks"], seconds=16.0),
                 mix=MIXES["long prompts"],
                 shape=SHAPES["base"],
                 variant=PRODUCT,
                 seed=0,
-                times=times,
+                time_scale=time_scale,
                 measure_from=8.0,
             )
-            worth_by_times[times] = result.worth
+            worth_by_time_scale[time_scale] = result.worth
         self.assertAlmostEqual(
-            worth_by_times[1.0], worth_by_times[2.0], delta=0.03
+            worth_by_time_scale[1.0], worth_by_time_scale[2.0], delta=0.03
         )
 
-    def test_news_of_what_is_held_saves_reading(self):
-        # A region that has read a beginning, and one whose memory pushed it
-        # out: guesses from what was sent know neither.
+    def test_reports_of_cached_prefixes_save_prefill(self):
+        # Without reports, an entry misses prefixes that other regions sent
+        # and those that were evicted.
         ours = result_of("peaks", "long prompts")
-        blind = result_of(
+        without_reports = result_of(
             "peaks", "long prompts", without("endpoint_holdings")
         )
-        self.assertLess(ours.read_again, blind.read_again)
+        self.assertLess(ours.read_again, without_reports.read_again)
 
-    def test_entries_that_start_anew_serve_soon(self):
-        # All entries are gone for two seconds and know nothing after it.
-        # The engines kept what they hold; what waited is spread over them.
+    def test_restarted_entries_recover_quickly(self):
+        # All entries restart without state; the engines keep their caches.
         result = result_of("full stop", "long prompts")
         self.assertGreater(result.worth, 0.85)
         self.assertGreater(result.worst_windows, 0.4)
 
-    def test_little_is_refused_that_could_be_served(self):
+    def test_few_requests_are_refused_under_normal_load(self):
         result = result_of("quiet", "long prompts")
         self.assertGreater(result.in_time, 0.97)
         self.assertLess(result.refused + result.failed, 0.01)
