--- a/tests/docs/__init__.py
+++ b/tests/docs/__init__.py
@@ -1,1 +1,1 @@
-"""Tests that hold the pages to the code."""
+"""Tests that the documentation matches the code."""
--- a/tests/docs/test_capacity.py
+++ b/tests/docs/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page is what the measured slopes give."""
+"""Tests that the capacity page matches the measured slopes."""
 
 import tomllib
 import unittest
@@ -15,11 +15,11 @@
     def setUp(self):
         self.slopes = tomllib.loads(SLOPES.read_text())
 
-    def test_page_is_worked_out_from_the_slopes(self):
+    def test_page_is_rendered_from_the_slopes(self):
         page = PAGE.read_text()
         self.assertEqual(render(page, self.slopes), page)
 
-    def test_another_slope_gives_another_page(self):
+    def test_changed_slope_changes_the_page(self):
         page = PAGE.read_text()
         self.slopes["data_centre"]["megabytes"] += 50
         self.assertNotEqual(render(page, self.slopes), page)
@@ -28,7 +28,7 @@
         mean, busy = compute_costs(self.slopes)[:2]
         self.assertGreater(busy.bytes_per_second, mean.bytes_per_second)
 
-    def test_each_slope_has_its_command(self):
+    def test_each_slope_names_its_command(self):
         for name, section in self.slopes.items():
             if name not in ("size", "budget"):
                 self.assertTrue(section["command"].startswith("python -m"))
--- a/tests/docs/test_figures.py
+++ b/tests/docs/test_figures.py
@@ -1,22 +1,22 @@
-"""No page is left with a figure that is still to come."""
+"""Tests that no page contains a placeholder for a figure."""
 
 import pathlib
 import re
 import unittest
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
-# What a writer leaves where a figure will stand after the next run.
-_OPEN = re.compile(r"@@[A-Z0-9]*@@|\b(?:TBD|FIXME)\b")
+# Placeholders for figures of a later run.
+_PLACEHOLDER = re.compile(r"@@[A-Z0-9]*@@|\b(?:TBD|FIXME)\b")
 
 
 class FiguresTest(unittest.TestCase):
-    """README.md and all under docs/."""
+    """README.md and all pages under docs/."""
 
-    def test_no_figure_is_left_open(self):
+    def test_pages_contain_no_placeholder(self):
         pages = [ROOT / "README.md", *(ROOT / "docs").rglob("*.md")]
         found = [
             f"{page.relative_to(ROOT)}: {mark}"
             for page in pages
-            for mark in _OPEN.findall(page.read_text())
+            for mark in _PLACEHOLDER.findall(page.read_text())
         ]
         self.assertEqual([], found)
--- a/tests/docs/test_hard_cases.py
+++ b/tests/docs/test_hard_cases.py
@@ -1,22 +1,24 @@
-"""The page of hard cases names tests that exist."""
+"""Tests that the page of hard cases names existing tests."""
 
 import pathlib
 import re
 import unittest
 
 PAGE = pathlib.Path(__file__).parents[2] / "docs" / "topics" / "hard-cases.md"
-CASES = 23
-NAME = re.compile(r"`([a-z_]+(?:\.\w+)+)`")
+CASE_COUNT = 23
+TEST_NAME = re.compile(r"`([a-z_]+(?:\.\w+)+)`")
 
 
 class HardCaseTest(unittest.TestCase):
-    """Each case is brought about by a test of the suite."""
+    """Each hard case is covered by a test of the suite."""
 
     def test_every_case_names_tests_that_exist(self):
         rows = re.findall(r"^\| (\d+)\. (.*)$", PAGE.read_text(), re.M)
-        self.assertEqual(list(range(1, CASES + 1)), [int(n) for n, _ in rows])
+        self.assertEqual(
+            list(range(1, CASE_COUNT + 1)), [int(n) for n, _ in rows]
+        )
         for number, row in rows:
-            names = NAME.findall(row)
+            names = TEST_NAME.findall(row)
             self.assertTrue(names, f"case {number} names no test")
             for name in names:
                 suite = unittest.TestLoader().loadTestsFromName(
--- a/tests/docs/test_operations.py
+++ b/tests/docs/test_operations.py
@@ -1,4 +1,4 @@
-"""The operations page: its commands lead from an id to the cause."""
+"""Tests that the commands of the operations page find a cause by id."""
 
 import pathlib
 import re
@@ -17,7 +17,7 @@
 
 
 class OperationsTest(unittest.TestCase):
-    """Three kinds of failed request, on real processes."""
+    """Three kinds of failed requests on real processes."""
 
     def run_command(self, *words):
         done = subprocess.run(
@@ -41,13 +41,13 @@
             self.run_command("-m", "scripts.failed_requests", folder)
             logs = [str(path) for path in pathlib.Path(folder).glob("*.log")]
             for request_id in commands:
-                story = self.run_command(
+                explanation = self.run_command(
                     "-m", "burdockdrum.cli", "explain", request_id, *logs
                 )
                 for words in CAUSES[request_id]:
-                    self.assertIn(words, story)
+                    self.assertIn(words, explanation)
 
-    def test_unknown_id_is_said(self):
+    def test_unknown_id_is_reported(self):
         done = subprocess.run(
             [
                 sys.executable,
