--- a/scripts/local_deployment.py
+++ b/scripts/local_deployment.py
@@ -46,7 +46,7 @@
         self.deployment = deployment
         self.process: asyncio.subprocess.Process | None = None
         self.settings = self.folder / "node.toml"
-        self.first_start = True
+        self.is_first_start = True
         self.is_stopping = False
 
     def write_settings(self, **changes: Any) -> None:
@@ -70,7 +70,7 @@
             "region": self.zone,
             "internal_port_range": list(INTERNAL_PORT_RANGE),
             "seeds": self.deployment.seeds,
-            "first_start": self.first_start,
+            "first_start": self.is_first_start,
             **changes,
         }
         if self.is_control:
@@ -90,7 +90,7 @@
     async def start(self) -> None:
         """Start the process."""
         self.write_settings()
-        self.first_start = False
+        self.is_first_start = False
         log = (self.folder / "output").open("ab")
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
