--- a/burdockdrum/cli/connection.py
+++ b/burdockdrum/cli/connection.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from burdockdrum.client import GatewayClient
-from burdockdrum.system_ports import make_trust
+from burdockdrum.system_ports import make_ssl_context
 from burdockdrum.system_ports import SystemClock
 
 
@@ -15,5 +15,5 @@
         token=arguments["--token"],
         clock=SystemClock(),
         rng=random.Random(),
-        ssl_context=make_trust(arguments["--trust"]),
+        ssl_context=make_ssl_context(arguments["--trust"]),
     )
--- a/burdockdrum/daemon/daemon.py
+++ b/burdockdrum/daemon/daemon.py
@@ -17,7 +17,7 @@
 from burdockdrum.settings import Settings
 from burdockdrum.system_ports import FolderDisk
 from burdockdrum.system_ports import limit_threads
-from burdockdrum.system_ports import make_trust
+from burdockdrum.system_ports import make_ssl_context
 from burdockdrum.system_ports import PooledHttpClient
 from burdockdrum.system_ports import PynngNetwork
 from burdockdrum.system_ports import SystemClock
@@ -86,7 +86,7 @@
             identity=identity,
             mailbox=mailbox,
             clock=SystemClock(),
-            http=PooledHttpClient(ssl_context=make_trust(trust_file)),
+            http=PooledHttpClient(ssl_context=make_ssl_context(trust_file)),
             rng=random.Random(),
             disk=_open_disk(settings),
         )
--- a/burdockdrum/system_ports/__init__.py
+++ b/burdockdrum/system_ports/__init__.py
@@ -1,4 +1,4 @@
-"""The ports over the machine's clock, sockets and files."""
+"""The ports implemented over the system's clock, sockets and files."""
 
 from typing import Any
 
@@ -6,12 +6,12 @@
 from burdockdrum.system_ports.disk import FolderDisk
 from burdockdrum.system_ports.network import limit_threads
 from burdockdrum.system_ports.network import PynngNetwork
-from burdockdrum.system_ports.trust import make_trust
+from burdockdrum.system_ports.tls import make_ssl_context
 
 __all__ = [
     "FolderDisk",
     "limit_threads",
-    "make_trust",
+    "make_ssl_context",
     "PooledHttpClient",
     "PynngNetwork",
     "SystemClock",
@@ -19,9 +19,8 @@
 
 
 def __getattr__(name: str) -> Any:
-    # A VM that only passes requests through needs none of blacksheep, whose
-    # import with uvicorn takes 0.17 s of processor time and 14 MB (the
-    # median of three runs of an idle machine).
+    # Imported lazily: pass-through VMs don't need blacksheep, whose import
+    # costs noticeable start-up time and memory.
     if name != "PooledHttpClient":
         raise AttributeError(name)
     from burdockdrum.system_ports.http import PooledHttpClient
--- a/burdockdrum/system_ports/clock.py
+++ b/burdockdrum/system_ports/clock.py
@@ -1,21 +1,21 @@
-"""The machine's clock."""
+"""The clock port over the system's clock."""
 
 import asyncio
 import time
 
-# Waits shorter than this end when they should.
-LONG_SECONDS = 0.2
-GRID_SECONDS = 0.05
+# Shorter sleeps are not rounded.
+MIN_COALESCED_SLEEP_SECONDS = 0.2
+TIMER_INTERVAL_SECONDS = 0.05
 
 
 class SystemClock:
-    """The machine's clock, through the running event loop."""
+    """The system's clock; sleeps use the running event loop."""
 
     def monotonic(self) -> float:
-        """Return the machine's monotonic time in seconds.
+        """Return the system's monotonic time in seconds.
 
-        Not the event loop's: uvloop reads its time once a turn, so that a
-        lease looked valid after a turn that took longer than the lease.
+        The event loop's time is not used: uvloop updates it once per
+        iteration, so an expired lease could look valid during a long one.
         """
         return time.monotonic()
 
@@ -24,13 +24,13 @@
         return time.time()
 
     async def sleep(self, seconds: float) -> None:
-        """Wait for so many seconds, or up to ``GRID_SECONDS`` more.
+        """Wait for a number of seconds.
 
-        An idle VM spends most of its processor time on waking up, for one
-        timer after the other. Longer waits end on a common grid, so that
-        many timers share one waking.
+        Longer sleeps are rounded up to end on a multiple of
+        ``TIMER_INTERVAL_SECONDS``, so that many timers share one wake-up;
+        wake-ups are most of an idle VM's processor time.
         """
-        if seconds >= LONG_SECONDS:
+        if seconds >= MIN_COALESCED_SLEEP_SECONDS:
             end = self.monotonic() + seconds
-            seconds += -end % GRID_SECONDS
+            seconds += -end % TIMER_INTERVAL_SECONDS
         await asyncio.sleep(seconds)
--- a/burdockdrum/system_ports/connections.py
+++ b/burdockdrum/system_ports/connections.py
@@ -1,10 +1,9 @@
-"""Connections whose answers are read only as fast as they are taken.
+"""HTTP client connections with backpressure.
 
-blacksheep's own client reads a body in a task of its own into a buffer
-without a bound: a caller that stops reading makes the process hold the
-whole answer of a fast endpoint. Here the body is pulled from the socket by
-whoever consumes it, so asyncio's flow control stops the sender once its
-stream buffer is full.
+blacksheep's client reads a body in a background task into an unbounded
+buffer, so a stalled caller would make the process hold the whole response.
+Here the consumer reads the body from the socket, and asyncio's flow control
+stops the sender once the stream buffer is full.
 """
 
 import asyncio
@@ -22,18 +21,18 @@
 
 
 class ConnectionEnded(Exception):
-    """The peer closed or broke the connection in the middle."""
+    """The connection closed or broke in the middle of a response."""
 
 
 class ResponseReceiver:
-    """What of a response has arrived; the callbacks of ``httptools``.
+    """The received part of a response, fed by ``httptools`` callbacks.
 
-    ``h11`` encodes the requests; to decode a streamed token it takes 12 µs
-    of processor time where ``httptools`` takes 0.3.
+    ``h11`` encodes the requests; responses are decoded by ``httptools``,
+    which is many times faster on small chunks.
     """
 
     def __init__(self) -> None:
-        """Wait for a response."""
+        """Create a parser of one response."""
         self.headers: list[tuple[bytes, bytes]] = []
         self.parts: list[bytes] = []
         self.head_complete = False
@@ -44,41 +43,42 @@
         self._size = 0
 
     def feed(self, data: bytes) -> None:
-        """Take in what has arrived.
+        """Parse received bytes.
 
         :raises ConnectionEnded: if it is not HTTP, or the head is too large
         """
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            raise ConnectionEnded(f"not HTTP: {error}") from error
+            raise ConnectionEnded(f"invalid HTTP: {error}") from error
         if not self.head_complete:
             self._size += len(data)
             if self._size > MAX_HEAD_BYTES:
-                raise ConnectionEnded("the head of the answer is too large")
+                raise ConnectionEnded("the response head is too large")
 
     def feed_end(self) -> None:
-        """Take in the end of the connection.
+        """Handle the end of the connection.
 
-        :raises ConnectionEnded: unless it is what ends this body
+        :raises ConnectionEnded: unless the end of the connection delimits
+            the body
         """
         names = {name.lower() for name, _ in self.headers}
         framed = names & {b"content-length", b"transfer-encoding"}
         if not self.head_complete or framed:
-            raise ConnectionEnded("closed before the end of the answer")
+            raise ConnectionEnded("closed before the end of the response")
         self.complete = True
 
-    def take(self) -> bytes:
-        """Return the parts of the body that have arrived, joined."""
+    def consume_body(self) -> bytes:
+        """Return and forget the received part of the body."""
         parts, self.parts = self.parts, []
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Store a header."""
         self.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Take the head; that of an interim response does not count."""
+        """Complete the head; that of an interim response is dropped."""
         self.status = self._parser.get_status_code()
         if self.status >= 200:
             self.head_complete = True
@@ -86,37 +86,37 @@
             self.headers.clear()
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Store a chunk of the body."""
         self.parts.append(body)
 
     def on_message_complete(self) -> None:
-        """Take the end of the response."""
+        """Complete the response."""
         self.complete = self.head_complete
-        # The parser knows it now and forgets it with what comes next.
+        # The parser resets this with the next message.
         self.keep_alive = self._parser.should_keep_alive()
 
 
 class PullingConnection(HTTP11Connection):
-    """A connection that reads the next part of a body when asked for it."""
+    """A connection that reads the body on demand."""
 
     _receiver: ResponseReceiver
 
     @property
     def is_open(self) -> bool:
-        """Say whether a new request may be sent.
+        """Return whether a new request may be sent.
 
-        An idle connection that the server closed meanwhile is not reused:
-        the request would be lost, and its verdict needlessly "may have run".
+        An idle connection that the server has closed is not reused: the
+        request would be lost, with the needless verdict "may have run".
         """
         if not super().is_open or self.reader is None or self.writer is None:
             return False
         return not (self.reader.at_eof() or self.writer.is_closing())
 
     async def send(self, request: Request) -> Response:
-        """Send a request and wait for the head of its answer.
+        """Send a request and wait for the head of its response.
 
-        Head and body leave in one write: two cost a system call more here
-        and wake the server twice.
+        Head and body are sent in one write, which saves a system call and
+        wakes the server only once.
         """
         codec, writer = self._h11_conn, self.writer
         if codec is None or writer is None:
@@ -131,7 +131,7 @@
         return await self._receive_response()
 
     async def read_part(self) -> bytes | None:
-        """Return the next part of the body, or None at its end.
+        """Return the next chunk of the body, or None at its end.
 
         :raises ConnectionEnded: if the connection ends before the body does
         """
@@ -140,10 +140,10 @@
             if receiver.complete:
                 return None
             await self._receive(receiver)
-        return receiver.take()
+        return receiver.consume_body()
 
     def reuse(self) -> None:
-        """Give the connection back to its pool, if it can take a request."""
+        """Release the connection to its pool if it can be kept alive."""
         if not self._receiver.keep_alive:
             self.abort()
             return
@@ -151,14 +151,14 @@
         self._try_return_to_pool()
 
     def abort(self) -> None:
-        """Close at once, without waiting for what is still to be sent."""
+        """Close at once, discarding unsent data."""
         self._closing = True
         self._connected = False
         if self.writer is not None:
             self.writer.transport.abort()
 
     async def _receive_response(self, timeout: float = 60.0) -> Response:
-        # The base class starts a task here that reads the whole body.
+        # Overridden: the base class starts a task that reads the whole body.
         receiver = ResponseReceiver()
         self._receiver = receiver
         while not receiver.head_complete:
@@ -175,11 +175,11 @@
             receiver.feed_end()
 
 
-class PullingPool(ConnectionPool):
-    """The idle connections to one address."""
+class PullingConnectionPool(ConnectionPool):
+    """The idle connections to one server."""
 
     async def create_connection(self) -> PullingConnection:
-        """Open a connection that is not in the pool yet."""
+        """Open a new connection."""
         connection = PullingConnection(
             pool=self,
             host=self.host,
@@ -191,13 +191,15 @@
         return connection
 
 
-class PullingPools:
-    """The pools by address."""
+class ConnectionPools:
+    """The connection pools by scheme, host and port."""
 
     def __init__(self, *, ssl_context: ssl.SSLContext | None) -> None:
-        """Create no pool yet."""
+        """Start without pools; each is created on demand."""
         self._ssl = ssl_context
-        self._pools_by_address: dict[tuple[bytes, bytes, int], PullingPool]
+        self._pools_by_address: dict[
+            tuple[bytes, bytes, int], PullingConnectionPool
+        ]
         self._pools_by_address = {}
 
     async def connect(
@@ -205,14 +207,17 @@
     ) -> PullingConnection:
         """Return an idle connection, or open one.
 
-        :raises OSError: if no connection came about
-        :raises TimeoutError: if none came about in so many seconds
+        :param timeout: seconds
+        :raises OSError: if no connection could be established
+        :raises TimeoutError: if none was established within the timeout
         """
         port = port or (443 if scheme == b"https" else 80)
         key = (scheme, host, port)
         pool = self._pools_by_address.get(key)
         if pool is None:
-            pool = PullingPool(scheme, host, port, self._ssl, http2=False)
+            pool = PullingConnectionPool(
+                scheme, host, port, self._ssl, http2=False
+            )
             self._pools_by_address[key] = pool
         async with asyncio.timeout(timeout):
             connection = await pool.get_connection()
--- a/burdockdrum/system_ports/disk.py
+++ b/burdockdrum/system_ports/disk.py
@@ -1,4 +1,4 @@
-"""Files in a folder of the machine."""
+"""The disk port over a folder of the file system."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,11 +8,11 @@
 
 from burdockdrum.ports.disk import DiskError
 
-T = TypeVar("T")
+ResultT = TypeVar("ResultT")
 
 
 class FolderDisk:
-    """A disk port over one folder; blocking calls run in threads."""
+    """The files of one folder; blocking calls run in threads."""
 
     def __init__(self, *, folder: pathlib.Path) -> None:
         """Create the folder if it is missing."""
@@ -27,38 +27,38 @@
         return await self._run(path.read_bytes)
 
     async def write(self, name: str, content: bytes) -> None:
-        """Create a file or replace its content, unsynced."""
+        """Create a file or replace its content, without syncing."""
         await self._run(lambda: (self._folder / name).write_bytes(content))
 
     async def append(self, name: str, content: bytes) -> None:
-        """Add to the end of a file, creating it, unsynced."""
+        """Append to a file, creating it if needed, without syncing."""
 
-        def add() -> None:
+        def append_content() -> None:
             with open(self._folder / name, "ab") as file:
                 file.write(content)
 
-        await self._run(add)
+        await self._run(append_content)
 
     async def truncate(self, name: str, size: int) -> None:
-        """Cut a file to a size in bytes, unsynced."""
+        """Truncate a file to a size in bytes, without syncing."""
         await self._run(lambda: os.truncate(self._folder / name, size))
 
     async def sync(self, name: str) -> None:
-        """Make a file's content last."""
+        """Make a file's content durable."""
         await self._run(lambda: _sync_path(self._folder / name))
 
     async def rename(self, old: str, new: str) -> None:
-        """Rename a file over another."""
+        """Rename a file, replacing the target."""
         await self._run(
             lambda: os.replace(self._folder / old, self._folder / new)
         )
 
     async def remove(self, name: str) -> None:
-        """Remove a file if it is there."""
+        """Remove a file if it exists."""
         await self._run(lambda: (self._folder / name).unlink(missing_ok=True))
 
     async def sync_folder(self) -> None:
-        """Make creations, renames and removals last."""
+        """Make creations, renames and removals durable."""
         await self._run(lambda: _sync_path(self._folder))
 
     async def list(self) -> list[str]:
@@ -67,9 +67,9 @@
             path.name for path in self._folder.iterdir() if path.is_file()
         )
 
-    async def _run(self, call: Callable[[], T]) -> T:
+    async def _run(self, operation: Callable[[], ResultT]) -> ResultT:
         try:
-            return await asyncio.to_thread(call)
+            return await asyncio.to_thread(operation)
         except OSError as error:
             raise DiskError(str(error)) from error
 
--- a/burdockdrum/system_ports/http.py
+++ b/burdockdrum/system_ports/http.py
@@ -1,9 +1,9 @@
-"""HTTP calls through blacksheep's connections.
+"""The HTTP port over blacksheep's connections.
 
-``blacksheep.client.ClientSession`` is not used: it sends a POST again by
-itself when a pooled connection closes, and so could run an unrepeatable
-request twice. Its connections are used directly, which also tells a failed
-connect from a failed answer.
+``blacksheep.client.ClientSession`` is not used: it resends a POST when a
+pooled connection closes, and so could run a non-idempotent request twice.
+Using the connections directly also tells a failed connect from a lost
+response.
 """
 
 import asyncio
@@ -20,17 +20,17 @@
 from burdockdrum.ports.http import ConnectFailed
 from burdockdrum.ports.http import UpstreamAnswer
 from burdockdrum.ports.http import UpstreamCall
+from burdockdrum.system_ports.connections import ConnectionPools
 from burdockdrum.system_ports.connections import PullingConnection
-from burdockdrum.system_ports.connections import PullingPools
 
 
-class PooledAnswer:
-    """An answer that is read from a pooled connection."""
+class PooledResponse:
+    """A response that is read from a pooled connection."""
 
     def __init__(
         self, *, connection: PullingConnection, response: Response
     ) -> None:
-        """Take over the connection until the body has been read."""
+        """Own the connection until the body has been read."""
         self._connection = connection
         self._response = response
         self._complete = False
@@ -50,7 +50,7 @@
         return self._headers
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body's parts as they arrive."""
+        """Yield the body's chunks as they arrive."""
         connection = self._connection
         while True:
             try:
@@ -64,24 +64,24 @@
         connection.reuse()
 
     async def close(self) -> None:
-        """Close the connection unless the body was read to its end."""
+        """Close the connection unless the whole body was read."""
         if not self._complete:
             self._complete = True
             self._connection.abort()
 
 
 class PooledHttpClient:
-    """A client that keeps idle connections by address."""
+    """A client that keeps idle connections for reuse."""
 
     def __init__(self, *, ssl_context: ssl.SSLContext | None = None) -> None:
         """Create a client.
 
-        :param ssl_context: trust for https addresses; None for the default
+        :param ssl_context: for https URLs; None for the default
         """
-        self._pools = PullingPools(ssl_context=ssl_context)
+        self._pools = ConnectionPools(ssl_context=ssl_context)
 
     async def open(self, call: UpstreamCall) -> UpstreamAnswer:
-        """Send a request and wait for the head of its answer."""
+        """Send a request and wait for the head of its response."""
         connection = await self._connect(call)
         request = _build_request(call)
         try:
@@ -93,7 +93,7 @@
         except Exception as error:
             connection.abort()
             raise AnswerLost(f"{call.url}: {error!r}") from error
-        return PooledAnswer(connection=connection, response=response)
+        return PooledResponse(connection=connection, response=response)
 
     async def close(self) -> None:
         """Close the idle connections."""
--- a/burdockdrum/system_ports/network.py
+++ b/burdockdrum/system_ports/network.py
@@ -1,4 +1,4 @@
-"""The control network over pynng's push and pull sockets."""
+"""The network port over pynng's push and pull sockets."""
 
 import asyncio
 import collections
@@ -11,23 +11,21 @@
 
 MAX_PAYLOAD_BYTES = 4 * 1024 * 1024
 SEND_TIMEOUT_MS = 500
-# What a VM sends to a peer while the connection comes about, which takes
-# three ways there and back between regions: a dozen frames in 0.4 s.
+# Holds what a VM sends while a connection between regions is established.
 SEND_BUFFER_PAYLOADS = 16
-# VMs that start together dial peers that don't listen yet. The next try comes
-# soon, and then ever later: a leader can't be elected before control VMs hear
-# of each other.
+# VMs that start together dial peers that don't listen yet. The backoff starts
+# low, as no leader can be elected before the control VMs are connected.
 REDIAL_MIN_MS = 20
 REDIAL_MAX_MS = 500
 RECEIVE_BUFFER_PAYLOADS = 256
-_THREADS = 2
+_NNG_THREADS_PER_POOL = 2
 
 
 def limit_threads() -> None:
-    """Keep nng to a few threads; call before the first socket.
+    """Limit nng's thread pools; call before the first socket is opened.
 
-    By default nng starts two threads a core, which on a VM of 12 cores is
-    30 threads for a process that one event loop drives.
+    By default nng starts several threads per core, which a process driven
+    by one event loop doesn't need.
     """
     lib = pynng.lib
     for parameter in (
@@ -39,42 +37,43 @@
         "NNG_INIT_MAX_EXPIRE_THREADS",
     ):
         if hasattr(lib, parameter):
-            lib.nng_init_set_parameter(getattr(lib, parameter), _THREADS)
+            lib.nng_init_set_parameter(
+                getattr(lib, parameter), _NNG_THREADS_PER_POOL
+            )
 
 
-async def _finish(operation: Awaitable[None]) -> None:
-    """Wait for a socket operation and pass a cancellation on.
+async def _await_cancellable(operation: Awaitable[None]) -> None:
+    """Wait for a socket operation and propagate a cancellation.
 
-    pynng swallows the cancellation of an operation that ends at that very
-    moment: the task goes on, waits for the next one, and whoever cancelled it
-    waits for good. A daemon with a failed part did not exit.
+    pynng swallows a cancellation that arrives just as the operation ends.
+    The task would go on, and a daemon with a failed service would never
+    exit.
     """
-    before = _count_cancellations()
+    cancellations_before = _count_pending_cancellations()
     try:
         await operation
     except pynng.NNGException as error:
-        if _count_cancellations() > before:
+        if _count_pending_cancellations() > cancellations_before:
             raise asyncio.CancelledError from error
         raise
-    if _count_cancellations() > before:
+    if _count_pending_cancellations() > cancellations_before:
         raise asyncio.CancelledError
 
 
-def _count_cancellations() -> int:
+def _count_pending_cancellations() -> int:
     task = asyncio.current_task()
     return task.cancelling() if task is not None else 0
 
 
 class PynngMailbox:
-    """A pull socket for what comes in and a push socket a peer.
+    """A pull socket for incoming payloads and a push socket per peer.
 
-    Both are used without waiting inside the library: what waits there comes
-    back through one of its threads, which takes the interpreter's lock, and
-    costs half as much again as the message.
+    Both are used in non-blocking mode: asynchronous operations of pynng
+    complete on its own threads, which contend for the interpreter lock.
     """
 
     def __init__(self, *, pull: pynng.Pull0, address: str) -> None:
-        """Take over a listening socket; a loop must be running."""
+        """Own a listening socket; an event loop must be running."""
         self._pull = pull
         self._address = address
         self._pushes_by_address: dict[str, pynng.Push0] = {}
@@ -82,27 +81,27 @@
         self._has_received = asyncio.Event()
         self._loop = asyncio.get_running_loop()
         self._descriptor = pull.recv_fd
-        self._loop.add_reader(self._descriptor, self._take_received)
+        self._loop.add_reader(self._descriptor, self._read_available)
 
     @property
     def address(self) -> str:
-        """Return the address that peers dial."""
+        """Return the address that peers connect to."""
         return self._address
 
     async def send(self, address: str, payload: bytes) -> None:
-        """Hand a payload to the socket of that peer."""
+        """Queue a payload on the peer's socket."""
         push = self._pushes_by_address.get(address)
         try:
             if push is None:
                 push = self._dial(address)
             await self._push(push, payload)
         except pynng.NNGException as error:
-            self._drop(address)
+            self._close_push(address)
             raise SendFailed(f"{address}: {error}") from error
 
     def renew(self, address: str) -> None:
-        """Close the socket of a peer; the next payload opens another."""
-        self._drop(address)
+        """Close a peer's socket; the next payload opens a new one."""
+        self._close_push(address)
 
     async def receive(self) -> bytes:
         """Wait for the next payload."""
@@ -114,7 +113,7 @@
     async def close(self) -> None:
         """Close every socket."""
         for address in list(self._pushes_by_address):
-            self._drop(address)
+            self._close_push(address)
         self._loop.remove_reader(self._descriptor)
         self._pull.close()
 
@@ -122,16 +121,16 @@
         try:
             push.send(payload, block=False)
         except pynng.TryAgain:
-            # The peer is slow, or absent: wait until the timeout of sends.
-            await _finish(push.asend(payload))
+            # The peer is slow or unreachable: wait up to the send timeout.
+            await _await_cancellable(push.asend(payload))
 
-    def _take_received(self) -> None:
-        """Take what has arrived; called when there is something."""
+    def _read_available(self) -> None:
+        """Read all available payloads; called when there are some."""
         try:
             for _ in range(RECEIVE_BUFFER_PAYLOADS):
                 self._received.append(self._pull.recv(block=False))
         except pynng.TryAgain:
-            # All of it has been taken.
+            # The socket is empty.
             pass
         self._has_received.set()
 
@@ -146,17 +145,17 @@
         self._pushes_by_address[address] = push
         return push
 
-    def _drop(self, address: str) -> None:
+    def _close_push(self, address: str) -> None:
         push = self._pushes_by_address.pop(address, None)
         if push is not None:
             push.close()
 
 
 class PynngNetwork:
-    """The control network of the machine."""
+    """The control network over the system's sockets."""
 
     async def open(self, address: str) -> Mailbox:
-        """Listen on an address; port 0 takes a free one."""
+        """Listen on an address; port 0 selects a free one."""
         pull = pynng.Pull0(
             recv_max_size=MAX_PAYLOAD_BYTES,
             recv_buffer_size=RECEIVE_BUFFER_PAYLOADS,
--- a/tests/daemon/test_tls.py
+++ b/tests/daemon/test_tls.py
@@ -15,7 +15,7 @@
 from burdockdrum.ports import ConnectFailed
 from burdockdrum.ports import read_whole
 from burdockdrum.ports import UpstreamCall
-from burdockdrum.system_ports import make_trust
+from burdockdrum.system_ports import make_ssl_context
 from burdockdrum.system_ports import PooledHttpClient
 from burdockdrum.web import bind
 from burdockdrum.web import WebServer
@@ -57,7 +57,7 @@
         return answer.status, body
 
     async def test_trusted_certificate(self):
-        trust = make_trust(CERTIFICATE)
+        trust = make_ssl_context(CERTIFICATE)
         self.assertEqual((200, b"hello"), await self.call(trust))
 
     async def test_untrusted_certificate_means_not_sent(self):
--- a/tests/system_ports/test_clock.py
+++ b/tests/system_ports/test_clock.py
@@ -1,4 +1,4 @@
-"""The machine's clock under the daemon's event loop."""
+"""Tests of the system clock under the daemon's event loop."""
 
 import time
 import unittest
@@ -9,17 +9,16 @@
 
 
 class SystemClockTest(unittest.TestCase):
-    """Time goes on while a task keeps the event loop busy."""
+    """The monotonic time while a task blocks the event loop."""
 
-    def test_time_moves_within_one_turn_of_the_loop(self):
-        # A VM that leads is busy for longer than its lease, in one turn of
-        # the loop. The loop's own time stands still meanwhile; a lease judged
-        # by it would look valid while another VM may lead already.
+    def test_time_advances_within_one_iteration_of_the_loop(self):
+        # The event loop's own time stands still within one iteration: a
+        # blocked leader would take its expired lease for a valid one.
         async def main():
             clock = SystemClock()
             before = clock.monotonic()
-            until = time.perf_counter() + 0.02
-            while time.perf_counter() < until:
+            busy_until = time.perf_counter() + 0.02
+            while time.perf_counter() < busy_until:
                 pass
             self.assertGreater(clock.monotonic(), before)
 
--- a/tests/system_ports/test_http.py
+++ b/tests/system_ports/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP client over real sockets on loopback."""
+"""Tests of the HTTP client over loopback sockets."""
 
 import asyncio
 import unittest
@@ -10,13 +10,13 @@
 from burdockdrum.web import bind
 
 HEAD = b"HTTP/1.1 200 OK\r\ncontent-type: text/plain\r\n"
-BIG_BYTES = 50_000_000
-# The stream buffer of asyncio, doubled, and the kernel's two socket buffers.
-MAX_HELD_BYTES = 20_000_000
+BODY_BYTES = 50_000_000
+# Covers asyncio's stream buffer and the kernel's two socket buffers.
+MAX_BUFFERED_BYTES = 20_000_000
 
 
 class PooledHttpClientTest(unittest.IsolatedAsyncioTestCase):
-    """What the client holds and how it tells a cut from an end."""
+    """Backpressure, truncated bodies and reuse of connections."""
 
     async def serve(self, handler):
         async def handle(reader, writer):
@@ -37,16 +37,15 @@
         return client, f"http://127.0.0.1:{port}/"
 
     async def test_stalled_reader_holds_the_sender_back(self):
-        # The caller takes one part of a 50 MB answer and then reads nothing.
-        # If the client went on reading from the socket, this process would
-        # come to hold all of it; the sender has to be stopped instead.
+        # The caller reads one chunk of a 50 MB response and stalls. The
+        # client must stop the sender instead of buffering the whole body.
         sent = 0
 
         async def handler(reader, writer):
             nonlocal sent
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(HEAD + b"content-length: %d\r\n\r\n" % BIG_BYTES)
-            while sent < BIG_BYTES:
+            writer.write(HEAD + b"content-length: %d\r\n\r\n" % BODY_BYTES)
+            while sent < BODY_BYTES:
                 writer.write(b"x" * 100_000)
                 await writer.drain()
                 sent += 100_000
@@ -54,18 +53,18 @@
         client, url = await self.serve(handler)
         answer = await client.open(UpstreamCall(method="GET", url=url))
         parts = answer.chunks()
-        taken = len(await anext(parts))
-        settled = -1
-        while settled != sent:
-            settled = sent
+        received_size = len(await anext(parts))
+        previously_sent = -1
+        while previously_sent != sent:
+            previously_sent = sent
             await asyncio.sleep(0.05)
-        self.assertLess(sent - taken, MAX_HELD_BYTES)
+        self.assertLess(sent - received_size, MAX_BUFFERED_BYTES)
         async for part in parts:
-            taken += len(part)
-        self.assertEqual(BIG_BYTES, taken)
+            received_size += len(part)
+        self.assertEqual(BODY_BYTES, received_size)
 
-    async def test_body_cut_in_the_middle_is_no_end(self):
-        # The server promises 100 bytes or a last chunk, and closes before.
+    async def test_truncated_body_is_an_error(self):
+        # The server closes before the announced length or the last chunk.
         for framing, body in (
             (b"content-length: 100\r\n\r\n", b"half"),
             (b"transfer-encoding: chunked\r\n\r\n", b"4\r\nhalf\r\n"),
@@ -84,10 +83,9 @@
                     received += part
             self.assertEqual(b"half", received)
 
-    async def test_connection_that_the_server_closed_is_not_reused(self):
-        # The server answers and closes the idle connection without saying
-        # so. The next request must go over a new one: over the old one it
-        # would be lost, with the verdict "may have run".
+    async def test_connection_closed_by_the_server_is_not_reused(self):
+        # The server closes the idle connection without announcing it. A
+        # request over it would be lost, with the verdict "may have run".
         requests = 0
 
         async def handler(reader, writer):
@@ -102,13 +100,13 @@
             answer = await client.open(UpstreamCall(method="GET", url=url))
             parts = [part async for part in answer.chunks()]
             self.assertEqual(b"ok", b"".join(parts))
-            # Until the end of the stream has reached this process.
+            # Wait until the client has received the end of the stream.
             await asyncio.sleep(0.05)
         self.assertEqual(3, requests)
 
-    async def test_closing_an_open_answer_reaches_the_server(self):
-        # The caller goes while an engine streams: the engine must see it.
-        seen = asyncio.Event()
+    async def test_closing_a_response_closes_the_connection(self):
+        # If the caller disconnects, the engine must notice and stop.
+        closed = asyncio.Event()
 
         async def handler(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
@@ -117,16 +115,16 @@
             try:
                 await reader.read()
             finally:
-                seen.set()
+                closed.set()
 
         client, url = await self.serve(handler)
         answer = await client.open(UpstreamCall(method="GET", url=url))
         await anext(answer.chunks())
         await answer.close()
         async with asyncio.timeout(5):
-            await seen.wait()
+            await closed.wait()
 
-    async def test_connection_is_kept_for_the_next_request(self):
+    async def test_connection_is_reused(self):
         connections = 0
 
         async def handler(reader, writer):
@@ -145,7 +143,7 @@
             self.assertEqual(b"ok", b"".join(parts))
         self.assertEqual(1, connections)
 
-    async def test_body_without_a_frame_ends_with_the_connection(self):
+    async def test_body_without_framing_ends_with_the_connection(self):
         async def handler(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
             writer.write(HEAD + b"\r\nall of it")
@@ -156,7 +154,7 @@
         parts = [part async for part in answer.chunks()]
         self.assertEqual(b"all of it", b"".join(parts))
 
-    async def test_what_is_not_http_is_a_lost_answer(self):
+    async def test_invalid_http_is_a_lost_answer(self):
         for garbage in (b"\x00\xff\r\n\r\n", HEAD + b"a: b\r\n" * 20_000):
 
             async def handler(reader, writer, garbage=garbage):
@@ -168,7 +166,7 @@
             with self.assertRaises(AnswerLost):
                 await client.open(UpstreamCall(method="GET", url=url))
 
-    async def test_refused_connection_is_known_not_to_have_sent(self):
+    async def test_refused_connection_is_a_connect_failure(self):
         listener = bind("127.0.0.1", 0)
         port = listener.getsockname()[1]
         listener.close()
--- a/tests/system_ports/test_network.py
+++ b/tests/system_ports/test_network.py
@@ -1,4 +1,4 @@
-"""The control network over real sockets on loopback."""
+"""Tests of the control network over loopback sockets."""
 
 import asyncio
 import contextlib
@@ -15,7 +15,7 @@
 
 
 class PynngNetworkTest(unittest.IsolatedAsyncioTestCase):
-    """What the other parts rely on, and the library does not promise."""
+    """Guarantees that other packages need beyond those of pynng."""
 
     @classmethod
     def setUpClass(cls):
@@ -29,7 +29,7 @@
         await self.first.close()
         await self.second.close()
 
-    async def test_port_zero_becomes_a_real_port(self):
+    async def test_port_zero_selects_a_free_port(self):
         port = int(self.first.address.rpartition(":")[2])
         self.assertGreater(port, 0)
 
@@ -38,9 +38,8 @@
         self.assertEqual(b"hello", await self.second.receive())
 
     async def test_cancelled_receive_loses_nothing(self):
-        # A VM would miss messages without a trace if a cancelled receive
-        # took one with it. Half of the receives are cancelled while the
-        # payloads are on their way; each payload must still come out.
+        # A cancelled receive must not lose a payload. Half of the receives
+        # are cancelled while payloads are in flight.
         wanted = [b"%d" % number for number in range(100)]
         received = []
         for number, payload in enumerate(wanted):
@@ -56,12 +55,11 @@
                 received.append(await self.second.receive())
         self.assertEqual(sorted(wanted), sorted(received))
 
-    async def test_cancellation_is_passed_on(self):
-        # A part of a daemon fails and the others are cancelled. A send that
-        # ends at that very moment returns as if nothing had been asked: its
-        # task went on and the daemon hung instead of exiting.
+    async def test_cancellation_of_a_send_is_propagated(self):
+        # pynng swallows a cancellation that arrives as a send completes; the
+        # task would go on, and a daemon with a failed service would hang.
         class LatePush:
-            """A socket whose operation ends while it is cancelled."""
+            """A socket whose send swallows its cancellation."""
 
             def send(self, payload, *, block):
                 raise pynng.TryAgain("full", 8)
@@ -80,9 +78,9 @@
         with self.assertRaises(asyncio.CancelledError):
             await sending
 
-    async def test_payload_of_a_cancelled_receive_is_kept(self):
-        # The payload has been taken from the socket when the task that
-        # waits for it is cancelled, before that task runs again.
+    async def test_payload_read_before_the_cancellation_is_kept(self):
+        # The waiting task is cancelled after its payload was read from the
+        # socket, and before the task runs again.
         receiving = asyncio.create_task(self.second.receive())
         await asyncio.sleep(0)
         self.second._received.append(b"late")
@@ -92,8 +90,8 @@
             await receiving
         self.assertEqual(b"late", await self.second.receive())
 
-    async def test_many_payloads_at_once_keep_their_order(self):
-        # A VM was paused and finds hundreds of payloads; each comes once.
+    async def test_burst_of_payloads_keeps_its_order(self):
+        # A VM that was paused receives hundreds of queued payloads at once.
         wanted = [b"%d" % number for number in range(600)]
 
         async def send_all():
@@ -106,10 +104,9 @@
             await sending
         self.assertEqual(wanted, received)
 
-    async def test_absent_peer_is_reported_and_not_waited_for(self):
-        # Nobody listens there. The first payloads fit the buffer; once it
-        # is full a send must fail by itself, or the task of that peer would
-        # hang for good and its queue grow.
+    async def test_send_to_an_unreachable_peer_fails(self):
+        # Once the send buffer is full, a send must fail; otherwise the task
+        # of that peer would hang and its queue grow.
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             address = f"tcp://127.0.0.1:{probe.getsockname()[1]}"
@@ -117,7 +114,7 @@
             for _ in range(20):
                 await self.first.send(address, b"x")
 
-    async def test_restarted_peer_is_reached_again(self):
+    async def test_restarted_peer_is_reconnected(self):
         address = self.second.address
         await self.first.send(address, b"one")
         self.assertEqual(b"one", await self.second.receive())
