--- a/burdockdrum/__init__.py
+++ b/burdockdrum/__init__.py
@@ -1,3 +1,3 @@
-"""A multi-region inference gateway and the coordination parts it uses."""
+"""A multi-region inference gateway and its coordination services."""
 
 __all__: list[str] = []
--- a/burdockdrum/kernel/__init__.py
+++ b/burdockdrum/kernel/__init__.py
@@ -1,4 +1,4 @@
-"""A micro-kernel: services that find each other by name."""
+"""A dependency-injection container that looks up services by name."""
 
 from burdockdrum.kernel.kernel import Kernel
 from burdockdrum.kernel.kernel import ServiceError
--- a/burdockdrum/kernel/kernel.py
+++ b/burdockdrum/kernel/kernel.py
@@ -1,4 +1,8 @@
-"""The registry that builds services on demand and runs them."""
+"""The service container.
+
+It builds services on demand from factories, so that packages, embedders and
+tests can register or replace one service without knowing the others.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -6,20 +10,20 @@
 from typing import Any
 from typing import TypeVar
 
-T = TypeVar("T")
+ServiceT = TypeVar("ServiceT")
 Factory = Callable[["Kernel"], Any]
 
 
 class ServiceError(Exception):
-    """A service is missing, of another type, or needs itself."""
+    """A service is missing, has the wrong type or depends on itself."""
 
 
 class Kernel:
-    """Services by name, built when first asked for.
+    """A container of named services, each built on its first lookup.
 
-    A factory receives the kernel and finds what it needs by name. Services
-    with a coroutine ``run`` are run until the kernel stops; those with a
-    coroutine ``close`` are closed in the reverse order of their building.
+    A factory receives the kernel and looks up its dependencies by name.
+    Services with a coroutine ``run`` run until the kernel stops; those with
+    a coroutine ``close`` are closed in the reverse order of construction.
     """
 
     def __init__(self) -> None:
@@ -29,32 +33,32 @@
         self._building: list[str] = []
 
     def add(self, name: str, factory: Factory) -> None:
-        """Name a service; a later call replaces one not yet built.
+        """Register a factory, replacing any of that name not built yet.
 
-        :raises ServiceError: if the service has been built already
+        :raises ServiceError: if the service is already built
         """
         if name in self._services_by_name:
             raise ServiceError(f"service {name!r} is already built")
         self._factories_by_name[name] = factory
 
     def provide(self, name: str, service: object) -> None:
-        """Name a service that exists already."""
+        """Register an existing object as a service."""
         self.add(name, lambda kernel: service)
 
     def has(self, name: str) -> bool:
-        """Say whether a service of that name was added."""
+        """Return whether a service of that name is registered."""
         return name in self._factories_by_name
 
-    def find(self, name: str, expected: type[T]) -> T:
+    def find(self, name: str, expected: type[ServiceT]) -> ServiceT:
         """Return the service of that name, building it if needed.
 
-        :raises ServiceError: if it is missing, needs itself to be built, or
-            is not of the expected type
+        :raises ServiceError: if it is missing, depends on itself, or is not
+            of the expected type
         """
         if name not in self._services_by_name:
             self._services_by_name[name] = self._build(name)
         service = self._services_by_name[name]
-        # Protocol classes are not checked: embedders supply their own ports.
+        # Protocols are not checked: embedders supply their own ports.
         is_protocol = getattr(expected, "_is_protocol", False)
         if not is_protocol and not isinstance(service, expected):
             raise ServiceError(
@@ -64,9 +68,9 @@
         return service  # type: ignore[no-any-return]
 
     async def run(self) -> None:
-        """Build every service and run them until cancelled.
+        """Build all services and run them until cancelled.
 
-        One service that fails stops the others; its error is raised in an
+        A failing service stops the others; its error is raised in an
         exception group.
         """
         for name in list(self._factories_by_name):
@@ -88,10 +92,10 @@
 
     def _build(self, name: str) -> Any:
         if name not in self._factories_by_name:
-            raise ServiceError(f"no service is named {name!r}")
+            raise ServiceError(f"no service is registered as {name!r}")
         if name in self._building:
             chain = " -> ".join([*self._building, name])
-            raise ServiceError(f"services need each other: {chain}")
+            raise ServiceError(f"circular dependency of services: {chain}")
         self._building.append(name)
         try:
             return self._factories_by_name[name](self)
