--- a/burdockdrum/ports/__init__.py
+++ b/burdockdrum/ports/__init__.py
@@ -1,9 +1,9 @@
-"""Ports to the outside: clock, network, disk, HTTP client.
+"""Interfaces to the outside: clock, network, disk and HTTP client.
 
-Every task takes its ports from its constructor, so that the same code runs
-over real sockets and files and, under virtual time, over the fakes of
-``burdockdrum.testing`` or those of an embedder. The port for random numbers
-is the standard library's ``random.Random``.
+Components receive their ports through the constructor, so that the same code
+runs over real sockets and files or, under virtual time, over the fakes of
+``burdockdrum.testing``. The port for random numbers is the standard library's
+``random.Random``.
 """
 
 from burdockdrum.ports.clock import Clock
--- a/burdockdrum/ports/clock.py
+++ b/burdockdrum/ports/clock.py
@@ -6,18 +6,18 @@
 class Clock(Protocol):
     """A VM's clock.
 
-    Two clocks may drift against each other; only ``wall`` is comparable
-    between VMs, and only roughly.
+    Clocks of different VMs may drift apart; only ``wall`` can be compared
+    between VMs, and only approximately.
     """
 
     def monotonic(self) -> float:
-        """Return seconds that never go back, from an arbitrary start."""
+        """Return monotonic seconds from an arbitrary origin."""
         ...
 
     def wall(self) -> float:
-        """Return seconds since the epoch, which may jump."""
+        """Return seconds since the epoch, which may jump either way."""
         ...
 
     async def sleep(self, seconds: float) -> None:
-        """Wait for so many seconds of this clock."""
+        """Wait for a number of seconds of this clock."""
         ...
--- a/burdockdrum/ports/disk.py
+++ b/burdockdrum/ports/disk.py
@@ -1,22 +1,22 @@
-"""The port for files under the one data folder."""
+"""The port for files in the data folder."""
 
 from typing import Protocol
 
 
 class DiskError(Exception):
-    """An operation failed; what was written since the last sync is lost.
+    """An operation failed; writes since the last sync may be lost.
 
-    After a failed sync the kernel may drop the dirty pages and report
-    success the next time, so the caller must not retry: it has to treat the
-    file as unsynced for good.
+    Callers must not retry a failed sync: the operating system may have
+    dropped the dirty pages and would report success the next time. The file
+    has to be treated as unsynced for good.
     """
 
 
 class Disk(Protocol):
     """Files by name in one flat folder.
 
-    Nothing lasts before it is synced: content by ``sync``, and a file's
-    being created, renamed or removed by ``sync_folder``.
+    Nothing is durable before it is synced: content by ``sync``; creations,
+    renames and removals by ``sync_folder``.
     """
 
     async def read(self, name: str) -> bytes | None:
@@ -24,36 +24,36 @@
         ...
 
     async def write(self, name: str, content: bytes) -> None:
-        """Create a file or replace its content, unsynced."""
+        """Create a file or replace its content, without syncing."""
         ...
 
     async def append(self, name: str, content: bytes) -> None:
-        """Add to the end of a file, creating it, unsynced."""
+        """Append to a file, creating it if needed, without syncing."""
         ...
 
     async def truncate(self, name: str, size: int) -> None:
-        """Cut a file to a size in bytes, unsynced."""
+        """Truncate a file to a size in bytes, without syncing."""
         ...
 
     async def sync(self, name: str) -> None:
-        """Make a file's content last.
+        """Make a file's content durable.
 
-        :raises DiskError: if it may not have lasted; never retry
+        :raises DiskError: if it may not be durable; never retry
         """
         ...
 
     async def rename(self, old: str, new: str) -> None:
-        """Rename a file over another, unsynced until ``sync_folder``."""
+        """Rename a file, replacing the target; see ``sync_folder``."""
         ...
 
     async def remove(self, name: str) -> None:
-        """Remove a file if it is there, unsynced until ``sync_folder``."""
+        """Remove a file if it exists; see ``sync_folder``."""
         ...
 
     async def sync_folder(self) -> None:
-        """Make creations, renames and removals last.
+        """Make creations, renames and removals durable.
 
-        :raises DiskError: if they may not have lasted; never retry
+        :raises DiskError: if they may not be durable; never retry
         """
         ...
 
--- a/burdockdrum/ports/http.py
+++ b/burdockdrum/ports/http.py
@@ -1,7 +1,7 @@
-"""The port for HTTP calls to endpoints and to other entry VMs.
+"""The port for HTTP requests to endpoints and to other entry VMs.
 
-The port separates what a verdict needs: a call that failed before a byte of
-the request could leave, and one that failed after.
+Its errors tell a request that failed before any byte was sent from one that
+may have reached the server, which decides whether it may be retried.
 """
 
 from collections.abc import AsyncIterator
@@ -12,13 +12,14 @@
 
 
 class ConnectFailed(Exception):
-    """No connection came about: no byte of the request has left."""
+    """No connection was established: no byte of the request was sent."""
 
 
 class AnswerLost(Exception):
-    """The connection broke or was silent after the request may have left.
+    """The response was lost after the request may have been sent.
 
-    Raised while the head or the body of the answer is read.
+    Raised while the head or the body of the response is read, because the
+    connection broke or a timeout expired.
     """
 
 
@@ -35,7 +36,7 @@
 
 
 class UpstreamAnswer(Protocol):
-    """The head of an answer, and its body as a stream."""
+    """The head of a response, and its body as a stream."""
 
     @property
     def status(self) -> int:
@@ -48,32 +49,32 @@
         ...
 
     def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body's parts as they arrive.
+        """Yield the body's chunks as they arrive.
 
-        Reading slowly holds the sender back: bounded memory is held.
+        A slow reader slows down the sender, so that memory stays bounded.
 
-        :raises AnswerLost: if the body was cut before its end
+        :raises AnswerLost: if the body is truncated
         """
         ...
 
     async def close(self) -> None:
-        """Close the connection unless the body was read to its end."""
+        """Close the connection unless the whole body was read."""
         ...
 
 
 async def read_whole(answer: UpstreamAnswer) -> bytes:
-    """Return an answer's whole body.
+    """Return the whole body of a response.
 
-    :raises AnswerLost: if the body was cut before its end
+    :raises AnswerLost: if the body is truncated
     """
     return b"".join([part async for part in answer.chunks()])
 
 
 class HttpClient(Protocol):
-    """A client that opens calls and never retries by itself."""
+    """A client that sends requests and never retries by itself."""
 
     async def open(self, call: UpstreamCall) -> UpstreamAnswer:
-        """Send a request and wait for the head of its answer.
+        """Send a request and wait for the head of its response.
 
         :raises ConnectFailed: if nothing was sent
         :raises AnswerLost: if the request may have been sent
--- a/burdockdrum/ports/network.py
+++ b/burdockdrum/ports/network.py
@@ -1,17 +1,17 @@
-"""The port for messages between the system's own processes."""
+"""The port for messages between the VMs of one deployment."""
 
 from typing import Protocol
 
 
 class SendFailed(Exception):
-    """A payload was not handed to the peer in time; it may still arrive."""
+    """A payload was not sent within the timeout; it may still arrive."""
 
 
 class Mailbox(Protocol):
-    """One process's place on the control network.
+    """One process's address on the control network.
 
-    Delivery is lossy: a payload may be dropped, delayed, doubled or arrive
-    after later ones, and its sender is not proved.
+    Delivery is unreliable: a payload may be dropped, delayed, duplicated or
+    reordered, and its sender is not authenticated.
     """
 
     @property
@@ -20,16 +20,16 @@
         ...
 
     async def send(self, address: str, payload: bytes) -> None:
-        """Hand a payload over for delivery.
+        """Queue a payload for delivery.
 
-        :raises SendFailed: if the peer took nothing within the time limit
+        :raises SendFailed: if the peer accepted nothing within the timeout
         """
         ...
 
     def renew(self, address: str) -> None:
-        """Send to a peer over a new connection from now on.
+        """Replace the connection to a peer by a new one.
 
-        What was handed over and not delivered yet may be lost.
+        Payloads that are queued for the old one may be lost.
         """
         ...
 
@@ -38,7 +38,7 @@
         ...
 
     async def close(self) -> None:
-        """Give the address back; unsent payloads are lost."""
+        """Release the address; unsent payloads are lost."""
         ...
 
 
