--- a/burdockdrum/verdicts/__init__.py
+++ b/burdockdrum/verdicts/__init__.py
@@ -1,4 +1,4 @@
-"""Say whether a request may have run, and refuse truthfully."""
+"""Verdicts on whether a request may have run, and error responses."""
 
 from burdockdrum.verdicts.refusal import Refusal
 from burdockdrum.verdicts.refusal import RefusalCode
--- a/burdockdrum/verdicts/refusal.py
+++ b/burdockdrum/verdicts/refusal.py
@@ -1,4 +1,4 @@
-"""The refusal that a caller gets in place of an answer."""
+"""The errors that the gateway returns to callers."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class RefusalCode(enum.Enum):
-    """Stable codes that callers' programs may match on."""
+    """Stable error codes that client programs may match on."""
 
     BAD_REQUEST = "bad_request"
     BODY_TOO_LARGE = "body_too_large"
@@ -62,7 +62,7 @@
 
 
 class Refusal(Exception):
-    """A request that gets no answer, with the verdict on whether it ran."""
+    """A request fails, with the verdict on whether it may have run."""
 
     def __init__(
         self,
@@ -75,9 +75,9 @@
         """Create a refusal.
 
         :param code: the stable code
-        :param message: a sentence for people that names the field or limit
+        :param message: a readable sentence that names the field or limit
         :param verdict: whether the request may have run
-        :param retry_after: seconds after which it is worth trying again
+        :param retry_after: seconds after which a retry may succeed
         """
         super().__init__(message)
         self.code = code
@@ -87,11 +87,11 @@
 
     @property
     def status(self) -> int:
-        """Return the HTTP status that goes with the code."""
+        """Return the HTTP status of the code."""
         return _STATUS_BY_CODE.get(self.code, _DEFAULT_STATUS)
 
     def with_verdict(self, verdict: Verdict) -> "Refusal":
-        """Copy the refusal with another verdict."""
+        """Return a copy with another verdict."""
         return Refusal(
             code=self.code,
             message=self.message,
