--- a/burdockdrum/timeline/__init__.py
+++ b/burdockdrum/timeline/__init__.py
@@ -1,4 +1,4 @@
-"""A time line of events that orders across processes."""
+"""A timeline of events that is ordered across processes."""
 
 from burdockdrum.timeline.hybrid_clock import HybridClock
 from burdockdrum.timeline.hybrid_clock import Stamp
--- a/burdockdrum/timeline/timeline.py
+++ b/burdockdrum/timeline/timeline.py
@@ -1,4 +1,4 @@
-"""The events of one process, kept in a ring."""
+"""The most recent events of one process, in a bounded buffer."""
 
 import collections
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 
 class Event(msgspec.Struct, frozen=True, kw_only=True):
-    """Something that happened in one process."""
+    """An event in one process."""
 
     stamp: Stamp
     process: str
@@ -25,7 +25,7 @@
 
 
 class Timeline:
-    """Record events and give them out in order."""
+    """A bounded record of events in order."""
 
     def __init__(
         self,
@@ -36,12 +36,12 @@
         capacity: int = DEFAULT_CAPACITY,
         sink: Callable[[Event], None] | None = None,
     ) -> None:
-        """Create an empty time line.
+        """Create an empty timeline.
 
         :param process: the VM's id
-        :param incarnation: tells the starts of one VM apart
-        :param capacity: how many events are kept; the oldest go first
-        :param sink: is given each event, as the log is
+        :param incarnation: identifies one start of the VM's process
+        :param capacity: number of events to keep; the oldest are dropped
+        :param sink: called with each event, for example to log it
         """
         self._sink = sink
         self.clock = clock
@@ -57,7 +57,7 @@
         revision: int | None = None,
         **details: str | int | float | bool | None,
     ) -> Event:
-        """Add an event that happened now.
+        """Record an event with the current timestamp.
 
         :param name: a noun and a past participle, such as
             ``endpoint.announced``
@@ -83,7 +83,7 @@
         request_id: str | None = None,
         revision: int | None = None,
     ) -> list[Event]:
-        """Return the events kept that match, oldest first."""
+        """Return the kept events that match all filters, oldest first."""
         return [
             event
             for event in self._events
@@ -94,5 +94,5 @@
 
 
 def merge(events: Iterable[Event]) -> list[Event]:
-    """Order the events of several processes into one time line."""
+    """Merge the events of several processes in timestamp order."""
     return sorted(events, key=lambda event: (event.stamp, event.process))
--- a/tests/timeline/test_timeline.py
+++ b/tests/timeline/test_timeline.py
@@ -1,4 +1,4 @@
-"""Tests of the time line."""
+"""Tests of the timeline and its hybrid logical clock."""
 
 import unittest
 
@@ -18,12 +18,11 @@
 
 
 class TimelineTest(unittest.TestCase):
-    """Events of several processes in one order."""
+    """Ordering, retention and filters of events."""
 
-    def test_effect_follows_cause_though_clocks_disagree(self):
-        # An operator reads the merged time line. The sender's wall clock is
-        # ten seconds ahead of the receiver's; ordered by wall time alone,
-        # the receipt would stand before the sending that caused it.
+    def test_effect_follows_cause_despite_clock_skew(self):
+        # The sender's wall clock is 10 s ahead of the receiver's: ordered by
+        # wall time alone, the receipt would precede the sending.
         async def main():
             sender = make_timeline("sender", 10.0)
             receiver = make_timeline("receiver", 0.0)
@@ -34,7 +33,7 @@
 
         run_virtual(main())
 
-    def test_far_clock_does_not_drag_others_along(self):
+    def test_stamp_far_ahead_does_not_advance_the_clock(self):
         async def main():
             timeline = make_timeline("vm", 0.0)
             now = timeline.record("a").stamp
@@ -45,7 +44,7 @@
 
         run_virtual(main())
 
-    def test_oldest_events_go_first(self):
+    def test_oldest_events_are_dropped_first(self):
         async def main():
             timeline = make_timeline("vm", 0.0, capacity=2)
             for name in ("a", "b", "c"):
