--- a/burdockdrum/metrics/__init__.py
+++ b/burdockdrum/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and histograms, shown in the usual text format."""
+"""Counters, gauges and histograms in the Prometheus text format."""
 
 from burdockdrum.metrics.metrics import Counter
 from burdockdrum.metrics.metrics import Gauge
--- a/burdockdrum/metrics/metrics.py
+++ b/burdockdrum/metrics/metrics.py
@@ -1,8 +1,7 @@
 """The metrics of one process.
 
-``hdrhistogram`` keeps the latencies; the page that monitors read follows
-the Prometheus text exposition format, version 0.0.4, with each histogram
-shown as a summary.
+They are exposed in the Prometheus text format, version 0.0.4. Latencies are
+recorded by ``hdrhistogram``, and each histogram is exposed as a summary.
 """
 
 from collections.abc import Callable
@@ -12,28 +11,28 @@
 
 QUANTILES = (50.0, 95.0, 99.0)
 _MICROSECONDS = 1_000_000
-_HIGHEST_SECONDS = 3600
+_MAX_RECORDED_SECONDS = 3600
 _SIGNIFICANT_DIGITS = 2
-_QUOTED = str.maketrans({"\\": r"\\", '"': r"\"", "\n": r"\n"})
+_LABEL_ESCAPES = str.maketrans({"\\": r"\\", '"': r"\"", "\n": r"\n"})
 
 Labels = tuple[tuple[str, str], ...]
 
 
-def _key(labels: dict[str, str]) -> Labels:
+def _label_key(labels: dict[str, str]) -> Labels:
     return tuple(sorted(labels.items()))
 
 
-def _show(labels: Labels) -> str:
+def _format_labels(labels: Labels) -> str:
     if not labels:
         return ""
     pairs = ",".join(
-        f'{name}="{value.translate(_QUOTED)}"' for name, value in labels
+        f'{name}="{value.translate(_LABEL_ESCAPES)}"' for name, value in labels
     )
     return "{" + pairs + "}"
 
 
 class Counter:
-    """A number that only grows, one a set of labels."""
+    """A value that only increases, kept per set of labels."""
 
     kind = "counter"
 
@@ -41,25 +40,25 @@
         self._values_by_labels: dict[Labels, float] = {}
 
     def increment(self, amount: float = 1, **labels: str) -> None:
-        """Add an amount."""
-        key = _key(labels)
+        """Increase the value by an amount."""
+        key = _label_key(labels)
         value = self._values_by_labels.get(key, 0)
         self._values_by_labels[key] = value + amount
 
     def value(self, **labels: str) -> float:
-        """Return the number so far."""
-        return self._values_by_labels.get(_key(labels), 0)
+        """Return the current value."""
+        return self._values_by_labels.get(_label_key(labels), 0)
 
     def lines(self, name: str) -> list[str]:
         """Return the lines of the text format."""
         return [
-            f"{name}{_show(labels)} {value:g}"
+            f"{name}{_format_labels(labels)} {value:g}"
             for labels, value in self._values_by_labels.items()
         ]
 
 
 class Gauge:
-    """A number that is asked for when the page is read."""
+    """A value that is read whenever the metrics are exposed."""
 
     kind = "gauge"
 
@@ -72,7 +71,7 @@
 
 
 class Histogram:
-    """Durations in seconds, one histogram a set of labels."""
+    """A distribution of durations in seconds, kept per set of labels."""
 
     kind = "summary"
 
@@ -80,19 +79,19 @@
         self._histograms_by_labels: dict[Labels, HdrHistogram] = {}
 
     def record(self, seconds: float, **labels: str) -> None:
-        """Add a duration; negative ones count as zero."""
-        key = _key(labels)
+        """Record a duration; a negative one counts as zero."""
+        key = _label_key(labels)
         histogram = self._histograms_by_labels.get(key)
         if histogram is None:
             histogram = HdrHistogram(
-                1, _HIGHEST_SECONDS * _MICROSECONDS, _SIGNIFICANT_DIGITS
+                1, _MAX_RECORDED_SECONDS * _MICROSECONDS, _SIGNIFICANT_DIGITS
             )
             self._histograms_by_labels[key] = histogram
         histogram.record_value(max(1, int(seconds * _MICROSECONDS)))
 
     def percentile(self, percent: float, **labels: str) -> float:
-        """Return a percentile in seconds; 0 where nothing was recorded."""
-        histogram = self._histograms_by_labels.get(_key(labels))
+        """Return a percentile in seconds, 0 if nothing was recorded."""
+        histogram = self._histograms_by_labels.get(_label_key(labels))
         if histogram is None:
             return 0.0
         value: int = histogram.get_value_at_percentile(percent)
@@ -105,10 +104,10 @@
             for percent in QUANTILES:
                 value = histogram.get_value_at_percentile(percent)
                 quantile = ("quantile", f"{percent / 100:g}")
-                shown = _show((*labels, quantile))
-                lines.append(f"{name}{shown} {value / _MICROSECONDS:g}")
+                labels_text = _format_labels((*labels, quantile))
+                lines.append(f"{name}{labels_text} {value / _MICROSECONDS:g}")
             lines.append(
-                f"{name}_count{_show(labels)} {histogram.total_count}"
+                f"{name}_count{_format_labels(labels)} {histogram.total_count}"
             )
         return lines
 
@@ -117,7 +116,7 @@
     """The metrics of one process by name."""
 
     def __init__(self) -> None:
-        """Create an empty set."""
+        """Create an empty registry."""
         self._helps_by_name: dict[str, str] = {}
         self._metrics_by_name: dict[str, Counter | Gauge | Histogram] = {}
 
@@ -132,11 +131,11 @@
     def gauge(
         self, name: str, help_text: str, read: Callable[[], float]
     ) -> Gauge:
-        """Add a gauge that is read with the page."""
+        """Add a gauge whose value comes from a function."""
         return self._get(name, help_text, lambda: Gauge(read))
 
     def text(self) -> str:
-        """Return the page for monitors."""
+        """Return all metrics in the text format."""
         lines = []
         for name, metric in sorted(self._metrics_by_name.items()):
             lines.append(f"# HELP {name} {self._helps_by_name[name]}")
@@ -144,8 +143,8 @@
             lines.extend(metric.lines(name))
         return "\n".join(lines) + "\n"
 
-    def _get(self, name: str, help_text: str, make: Callable) -> Any:
+    def _get(self, name: str, help_text: str, factory: Callable) -> Any:
         if name not in self._metrics_by_name:
-            self._metrics_by_name[name] = make()
+            self._metrics_by_name[name] = factory()
             self._helps_by_name[name] = help_text
         return self._metrics_by_name[name]
--- a/tests/metrics/test_metrics.py
+++ b/tests/metrics/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the metrics page."""
+"""Tests of the exposed metrics."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class MetricsTest(unittest.TestCase):
-    """What a monitor reads."""
+    """The metrics in the text format."""
 
     def test_counter_keeps_labels_apart(self):
         metrics = Metrics()
@@ -18,7 +18,7 @@
         self.assertIn('requests_total{code="200"} 1\n', text)
         self.assertIn('requests_total{code="503"} 2\n', text)
 
-    def test_label_values_are_quoted(self):
+    def test_label_values_are_escaped(self):
         metrics = Metrics()
         metrics.counter("a_total", "A.").increment(name='x"y\\z\n')
         self.assertIn('a_total{name="x\\"y\\\\z\\n"} 1\n', metrics.text())
@@ -31,7 +31,7 @@
         self.assertAlmostEqual(0.05, histogram.percentile(50), places=2)
         self.assertIn("latency_seconds_count 100\n", metrics.text())
 
-    def test_gauge_is_read_with_the_page(self):
+    def test_gauge_is_read_on_exposition(self):
         metrics = Metrics()
         values = [1.0]
         metrics.gauge("depth", "Depth.", lambda: values[0])
