--- a/burdockdrum/cli/__main__.py
+++ b/burdockdrum/cli/__main__.py
@@ -70,7 +70,7 @@
 from burdockdrum.cli.connection import connect
 from burdockdrum.cli.exit_codes import EXIT_NO_ENTRY
 from burdockdrum.cli.exit_codes import EXIT_USAGE
-from burdockdrum.cli.explaining import run_explain
+from burdockdrum.cli.explain import run_explain
 from burdockdrum.client import ClientError
 from burdockdrum.resources import hash_token
 
--- a/burdockdrum/cli/explaining.py
+++ b/burdockdrum/cli/explain.py
@@ -1,4 +1,4 @@
-"""Tell what became of a request from the logs of several processes."""
+"""The ``explain`` command: trace a request through several logs."""
 
 import pathlib
 import sys
@@ -13,10 +13,10 @@
 
 
 def run_explain(request_id: str, paths: list[str], *, as_json: bool) -> int:
-    """Print the story of a request, oldest first.
+    """Print the trace of a request, oldest line first.
 
-    Lines about the request itself are marked with a star; the others say
-    what its VMs learned or did around that time.
+    The request's own lines are marked with a star; the others are lines
+    that its VMs wrote around that time.
     """
     lines: list[LogLine] = []
     for path in paths:
@@ -26,14 +26,14 @@
             print(f"{path}: {error.strerror}", file=sys.stderr)
             return EXIT_FILE
         lines += read_lines(text.splitlines())
-    story = explain(request_id, lines)
-    if not story:
+    trace = explain(request_id, lines)
+    if not trace:
         print(f"no line names request {request_id}", file=sys.stderr)
         return EXIT_NOT_FOUND
     if as_json:
-        print(msgspec.json.encode(story).decode())
+        print(msgspec.json.encode(trace).decode())
         return 0
-    start = min(line.at for line in story if line.request_id)
-    for line in story:
-        print(line.show(start))
+    start = min(line.at for line in trace if line.request_id)
+    for line in trace:
+        print(line.format(start))
     return 0
--- a/burdockdrum/logs/__init__.py
+++ b/burdockdrum/logs/__init__.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard output, bounded and never blocking."""
+"""Structured logging to standard output, rate-limited and non-blocking."""
 
 from burdockdrum.logs.decisions import log_decision
 from burdockdrum.logs.decisions import log_failure
--- a/burdockdrum/logs/explain.py
+++ b/burdockdrum/logs/explain.py
@@ -1,26 +1,27 @@
-"""Join the logs of several processes into the story of one request."""
+"""Trace one request through the logs of several processes."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 from dataclasses import field
 import json
 
-# What a VM believed shortly before and after it decided.
-AROUND_SECONDS = 3.0
-# Of a VM's other lines near a request; the story is about the request.
-MAX_AROUND = 40
-_ABOUT_REQUESTS = "request."
-# Of no help to a request's story, and many.
-_LEFT_OUT = ("log.",)
-_FRAME = frozenset({"at", "level", "event", "vm", "stamp", "request_id"})
+# Time before and after a request for which other lines of its VMs are kept.
+CONTEXT_SECONDS = 3.0
+MAX_CONTEXT_LINES = 40
+_REQUEST_EVENT_PREFIX = "request."
+# Lines about the log itself are frequent and say nothing about a request.
+_EXCLUDED_EVENT_PREFIXES = ("log.",)
+_STANDARD_FIELDS = frozenset(
+    {"at", "level", "event", "vm", "stamp", "request_id"}
+)
 
 
 @dataclass(frozen=True, kw_only=True)
 class LogLine:
     """One line of a log.
 
-    ``at`` is the process's wall time in seconds; ``stamp`` orders lines of
-    processes whose clocks disagree.
+    ``at`` is the process's wall time in seconds; ``stamp`` orders the lines
+    of processes whose clocks disagree.
     """
 
     at: float
@@ -31,24 +32,24 @@
     request_id: str = ""
     fields: dict[str, object] = field(default_factory=dict)
 
-    def show(self, start: float) -> str:
-        """Return the line for people, its time counted from a start."""
-        mark = "*" if self.request_id else " "
-        shown = " ".join(
+    def format(self, start: float) -> str:
+        """Return the line as text, with its time relative to a start."""
+        marker = "*" if self.request_id else " "
+        fields_text = " ".join(
             f"{name}={value}"
             for name, value in self.fields.items()
             if value not in (None, "")
         )
         return (
-            f"{mark} {self.at - start:+9.3f} s  {self.vm}  {self.event}  "
-            f"{shown}"
+            f"{marker} {self.at - start:+9.3f} s  {self.vm}  {self.event}  "
+            f"{fields_text}"
         )
 
 
 def read_lines(text: Iterable[str]) -> list[LogLine]:
-    """Return the lines of a log; what is not one is passed over.
+    """Parse the lines of a log, skipping what is not a log line.
 
-    A line may have something in front of it, as collectors of logs put.
+    Text before the JSON object, as added by log collectors, is ignored.
     """
     lines = []
     for raw in text:
@@ -65,28 +66,30 @@
 
 
 def explain(request_id: str, lines: list[LogLine]) -> list[LogLine]:
-    """Return the lines that tell what became of a request, in order.
+    """Return the lines that trace a request, in order.
 
-    These are the request's own, and what the VMs that it passed learned or
-    did around that time.
+    These are the request's own lines, and other lines that its VMs wrote
+    around that time.
     """
-    own = [line for line in lines if line.request_id == request_id]
-    if not own:
+    request_lines = [line for line in lines if line.request_id == request_id]
+    if not request_lines:
         return []
-    begin = min(line.at for line in own) - AROUND_SECONDS
-    end = max(line.at for line in own) + AROUND_SECONDS
-    names = {line.vm for line in own}
-    around = [
+    begin = min(line.at for line in request_lines) - CONTEXT_SECONDS
+    end = max(line.at for line in request_lines) + CONTEXT_SECONDS
+    names = {line.vm for line in request_lines}
+    context = [
         line
         for line in lines
         if line.vm in names
         and begin <= line.at <= end
-        and not line.event.startswith((_ABOUT_REQUESTS, *_LEFT_OUT))
+        and not line.event.startswith(
+            (_REQUEST_EVENT_PREFIX, *_EXCLUDED_EVENT_PREFIXES)
+        )
     ]
-    # One line may stand in several of the logs that are joined.
+    # The logs may overlap: drop duplicates.
     chosen = {
         (line.vm, line.stamp, line.event): line
-        for line in [*around[:MAX_AROUND], *own]
+        for line in [*context[:MAX_CONTEXT_LINES], *request_lines]
     }
     return sorted(chosen.values(), key=lambda line: line.stamp)
 
@@ -101,5 +104,5 @@
         level=str(decoded.get("level", "")),
         stamp=(stamp[0], stamp[1]),
         request_id=str(decoded.get("request_id") or ""),
-        fields={k: v for k, v in decoded.items() if k not in _FRAME},
+        fields={k: v for k, v in decoded.items() if k not in _STANDARD_FIELDS},
     )
--- a/burdockdrum/logs/setup.py
+++ b/burdockdrum/logs/setup.py
@@ -1,4 +1,4 @@
-"""Send the log library's records to standard output as short JSON lines."""
+"""Configure loguru to write JSON lines to standard output."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,26 +12,25 @@
 from burdockdrum.settings.model import LogSettings
 from burdockdrum.timeline import Stamp
 
-# How long a line may wait: an engineer who follows the log notices none.
-FLUSH_SECONDS = 0.25
+FLUSH_INTERVAL_SECONDS = 0.25
 
 
 class StructuredLog:
-    """The sink of all records of a process.
+    """The sink of all log records of a process.
 
-    ``read_stamp`` gives each line a stamp that is larger than those of its
-    causes in other processes, whatever their clocks say.
+    ``read_stamp`` returns each line's logical timestamp, which is larger
+    than those of its causes in other processes even if clocks disagree.
     """
 
     def __init__(self, *, writer: BoundedWriter) -> None:
-        """Write to a writer."""
+        """Create a sink that writes to a writer."""
         self.read_stamp: Callable[[], Stamp] | None = None
         self._writer = writer
         self._encoder = msgspec.json.Encoder()
-        self._told_dropped = 0
+        self._reported_dropped = 0
 
-    def take(self, message: Any) -> None:
-        """Write a record of the log library as one line."""
+    def write(self, message: Any) -> None:
+        """Write a loguru message as one JSON line."""
         record = message.record
         line: dict[str, object] = {
             "at": record["time"].timestamp(),
@@ -48,37 +47,37 @@
         self._writer.add(self._encoder.encode(line) + b"\n")
 
     def flush(self) -> None:
-        """Hand on what waits, and say what was dropped."""
+        """Write the buffered lines and log how many were dropped."""
         dropped = self._writer.dropped
-        if dropped != self._told_dropped:
-            count = dropped - self._told_dropped
-            self._told_dropped = dropped
-            logger.bind(count=count).warning("log.lines_dropped")
+        if dropped != self._reported_dropped:
+            newly_dropped = dropped - self._reported_dropped
+            self._reported_dropped = dropped
+            logger.bind(count=newly_dropped).warning("log.lines_dropped")
         self._writer.flush()
 
     async def run(self) -> None:
-        """Hand lines on until cancelled."""
+        """Flush periodically until cancelled."""
         try:
             while True:
-                await asyncio.sleep(FLUSH_SECONDS)
+                await asyncio.sleep(FLUSH_INTERVAL_SECONDS)
                 self.flush()
         finally:
             self.flush()
 
 
 def set_up_structured_log(settings: LogSettings, vm_id: str) -> StructuredLog:
-    """Log to standard output; the caller runs what is returned."""
+    """Log to standard output; the caller has to run the returned sink."""
     sys.stdout.flush()
-    structured = StructuredLog(
+    structured_log = StructuredLog(
         writer=BoundedWriter(descriptor=sys.stdout.fileno())
     )
     logger.remove()
     logger.configure(extra={"vm": vm_id})
     logger.add(
-        structured.take,
+        structured_log.write,
         level=settings.level,
         format="{message}",
         backtrace=False,
         diagnose=False,
     )
-    return structured
+    return structured_log
--- a/tests/logs/__init__.py
+++ b/tests/logs/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of structured logs."""
+"""Tests of burdockdrum.logs."""
--- a/tests/logs/test_logs.py
+++ b/tests/logs/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of structured logs that never block."""
+"""Tests of the non-blocking, rate-limited log."""
 
 import json
 import os
@@ -9,17 +9,17 @@
 
 from loguru import logger
 
-from burdockdrum.logs.decisions import _Allowance
+from burdockdrum.logs.decisions import _RateLimiter
 from burdockdrum.logs.decisions import log_decision
 from burdockdrum.logs.decisions import log_failure
 from burdockdrum.logs.setup import set_up_structured_log
 from burdockdrum.logs.writer import BoundedWriter
-from burdockdrum.logs.writer import MAX_WAITING_BYTES
+from burdockdrum.logs.writer import MAX_BUFFERED_BYTES
 from burdockdrum.settings.model import LogSettings
 
 
 class WriterTest(unittest.TestCase):
-    """A pipe whose reader stops."""
+    """A pipe whose reader is slow or gone."""
 
     def setUp(self):
         self.reader, self.descriptor = os.pipe()
@@ -27,15 +27,15 @@
         self.addCleanup(os.close, self.descriptor)
         self.writer = BoundedWriter(descriptor=self.descriptor)
 
-    def test_full_pipe_blocks_nothing_and_loses_the_newest(self):
-        # Whoever collects the logs stops reading: the process goes on, its
-        # memory stays bounded, and what was dropped is counted.
+    def test_full_pipe_does_not_block_and_drops_the_newest_lines(self):
+        # A stalled log collector must neither block the process nor make it
+        # use unbounded memory; dropped lines are counted.
         line = b"x" * 999 + b"\n"
-        began = time.monotonic()
+        started_at = time.monotonic()
         for _ in range(2000):
             self.writer.add(line)
             self.writer.flush()
-        self.assertLess(time.monotonic() - began, 1.0)
+        self.assertLess(time.monotonic() - started_at, 1.0)
         self.assertGreater(self.writer.dropped, 1000)
         read = b""
         os.set_blocking(self.reader, False)
@@ -45,13 +45,13 @@
                 read += os.read(self.reader, 65536)
             except BlockingIOError:
                 break
-        # What was kept is whole lines, in order, none torn.
+        # Only complete lines were written.
         self.assertEqual(0, len(read) % 1000)
         kept = len(read) // 1000
         self.assertEqual(2000, kept + self.writer.dropped)
-        self.assertGreaterEqual(len(read), MAX_WAITING_BYTES - 1000)
+        self.assertGreaterEqual(len(read), MAX_BUFFERED_BYTES - 1000)
 
-    def test_closed_reader_ends_nothing(self):
+    def test_closed_reader_is_no_error(self):
         reader, descriptor = os.pipe()
         os.close(reader)
         writer = BoundedWriter(descriptor=descriptor)
@@ -62,7 +62,7 @@
 
 
 class LinesTest(unittest.TestCase):
-    """What a line holds."""
+    """The content of log lines."""
 
     def setUp(self):
         reader, descriptor = os.pipe()
@@ -79,7 +79,7 @@
         os.set_blocking(self.reader.fileno(), False)
         return [json.loads(line) for line in self.reader.readlines()]
 
-    def test_decision_is_one_short_line(self):
+    def test_decision_is_logged_as_one_short_line(self):
         log_decision("request.attempted", request_id="r1", generation=4)
         (line,) = self.read()
         self.assertEqual("request.attempted", line["event"])
@@ -87,7 +87,7 @@
         self.assertEqual("vm-1", line["vm"])
         self.assertLess(len(json.dumps(line)), 200)
 
-    def test_error_has_its_reason(self):
+    def test_exception_is_logged_with_its_message(self):
         try:
             raise ValueError("why")
         except ValueError as error:
@@ -95,9 +95,9 @@
         (line,) = self.read()
         self.assertIn("why", line["error"])
 
-    def test_flood_is_bounded_and_failures_come_through(self):
-        # 500 successes and 20 failures in one second: the failures are all
-        # there, and what was left out of the rest is counted.
+    def test_rate_limit_applies_to_decisions_and_failures_separately(self):
+        # 500 decisions and 20 failures in one second: all failures are
+        # logged, and the dropped decisions are counted.
         with mock.patch("time.monotonic", return_value=1e6):
             for _ in range(500):
                 log_decision("flood.passed")
@@ -109,18 +109,18 @@
         events = [line["event"] for line in lines]
         self.assertEqual(20, events.count("flood.failed"))
         self.assertLess(events.count("flood.passed"), 100)
-        left_out = [x for x in lines if x["event"] == "log.left_out"]
-        counted = {line["of"]: line["count"] for line in left_out}
+        drop_reports = [x for x in lines if x["event"] == "log.left_out"]
+        counted = {line["of"]: line["count"] for line in drop_reports}
         passed = events.count("flood.passed") - 1
         self.assertEqual(500, passed + counted["flood.passed"])
 
 
 class AllowanceTest(unittest.TestCase):
-    """The bound of each event."""
+    """The rate limit of each event."""
 
-    def test_events_have_bounds_of_their_own(self):
-        allowance = _Allowance(limit=2)
+    def test_each_event_has_its_own_limit(self):
+        limiter = _RateLimiter(limit=2)
         self.assertEqual(
             [True, True, False, True],
-            [allowance.take(name) for name in "aaab"],
+            [limiter.admit(name) for name in "aaab"],
         )
