--- a/burdockdrum/client/__init__.py
+++ b/burdockdrum/client/__init__.py
@@ -1,4 +1,4 @@
-"""A client of the gateway: it finds entry VMs and moves on when one dies."""
+"""A client of the gateway with discovery and failover of entry VMs."""
 
 from burdockdrum.client.client import ClientError
 from burdockdrum.client.client import GatewayClient
--- a/burdockdrum/client/client.py
+++ b/burdockdrum/client/client.py
@@ -1,17 +1,16 @@
-"""Send requests to whichever entry VM the gateway says to use.
+"""A client that selects an entry VM by weight and fails over to others.
 
-The client keeps the list of entries while it is valid and chooses among them
-by weight. When an entry fails:
+The client caches the gateway's list of entries. When an entry fails:
 
-- nothing was sent, or the entry said that it is shutting down ("not run"):
-  the request goes to another entry;
-- the answer was lost, and the request is repeatable or bears an idempotency
-  key: it is sent again, with that key, to another entry;
-- the answer of an unrepeatable request without a key was lost: the error
-  says that it may have run, and nothing is sent again.
+- if nothing was sent, or the entry is draining ("not run"), the request is
+  retried at another entry;
+- if the response was lost, and the request is repeatable or has an
+  idempotency key, it is retried at another entry with the same key;
+- if the response of an unrepeatable request without a key was lost, it is
+  not retried, and the error says that it may have run.
 
-Once an answer was lost, no later "not run" undoes it: the reply and the
-error say so in ``may_have_run``.
+Once a response was lost, a later "not run" can't revoke it: the reply or the
+error has ``may_have_run`` set.
 """
 
 from collections.abc import AsyncIterator
@@ -22,7 +21,7 @@
 
 import msgspec
 
-from burdockdrum.client.entries import EntryBook
+from burdockdrum.client.entries import EntryTable
 from burdockdrum.ports import AnswerLost
 from burdockdrum.ports import Clock
 from burdockdrum.ports import ConnectFailed
@@ -36,21 +35,21 @@
 from burdockdrum.vms import EntryChoice
 from burdockdrum.vms import EntryList
 
-MAX_TRIES = 6
-# The pause doubles: the next entry is tried soon, and yet the tries outlast
-# the few seconds in which all entries of a data centre may be starting.
-PAUSE_SECONDS = 0.2
-MAX_PAUSE_SECONDS = 1.6
-ANSWER_TIMEOUT_SECONDS = 620.0
-LIST_TIMEOUT_SECONDS = 2.0
+MAX_ATTEMPTS = 6
+# Exponential backoff: the second attempt comes soon, yet the attempts outlast
+# the seconds in which all entries of a data centre may be starting.
+INITIAL_BACKOFF_SECONDS = 0.2
+MAX_BACKOFF_SECONDS = 1.6
+RESPONSE_HEAD_TIMEOUT_SECONDS = 620.0
+ENTRY_LIST_TIMEOUT_SECONDS = 2.0
 IDEMPOTENCY_HEADER = "idempotency-key"
-_REFUSED_STATUS = 503
+_UNAVAILABLE_STATUS = 503
 
 
 class ClientError(Exception):
-    """No entry VM gave an answer; the message says whether it may have run.
+    """No entry VM answered.
 
-    ``may_have_run`` is true once a request may have left.
+    ``may_have_run`` says whether an attempt may have reached an endpoint.
     """
 
     def __init__(self, message: str, *, may_have_run: bool) -> None:
@@ -60,10 +59,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GatewayReply:
-    """A whole reply.
+    """A complete reply.
 
-    ``may_have_run`` says that an earlier try of the same call was lost on
-    the way and may have run, whatever this reply says of its own.
+    ``may_have_run`` says that the response of an earlier attempt was lost
+    and that attempt may have run, whatever this reply says.
     """
 
     status: int
@@ -74,7 +73,7 @@
 
     @property
     def ok(self) -> bool:
-        """Say whether the status is one of success."""
+        """Return whether the status is a success."""
         return 200 <= self.status < 300
 
 
@@ -88,7 +87,7 @@
 
 
 class GatewayClient:
-    """Calls to the gateway with a bearer token."""
+    """A client that authenticates with a bearer token."""
 
     def __init__(
         self,
@@ -103,15 +102,15 @@
     ) -> None:
         """Create a client.
 
-        :param seeds: URLs of entry VMs to ask for the list of entries
-        :param data_centre: the caller's own, so that near entries come first
+        :param seeds: URLs of entry VMs to query for the list of entries
+        :param data_centre: the caller's; nearby entries are preferred
         """
         self._token = token
         self._clock = clock
         self._http = http or PooledHttpClient(ssl_context=ssl_context)
         self._data_centre = data_centre
         self._rng = rng
-        self._book = EntryBook(seeds=seeds, clock=clock, rng=rng)
+        self._entry_table = EntryTable(seeds=seeds, clock=clock, rng=rng)
 
     async def call(
         self,
@@ -122,40 +121,40 @@
         headers: Mapping[str, str] | None = None,
         repeatable: bool = True,
     ) -> GatewayReply:
-        """Send a request and read its whole reply.
+        """Send a request and read the complete reply.
 
         :param repeatable: False for a request that must not run twice; it
-            is sent again only if it bears an idempotency key
-        :raises ClientError: if no entry VM gave a reply
+            is retried only if it has an idempotency key
+        :raises ClientError: if no entry VM answered
         """
-        may_resend = repeatable or _has_key(headers)
-        lost = False
-        trouble = "no entry VM is known"
-        for attempt in range(MAX_TRIES):
-            entry = await self._choose()
+        may_resend = repeatable or _has_idempotency_key(headers)
+        response_lost = False
+        last_error = "no entry VM is known"
+        for attempt in range(MAX_ATTEMPTS):
+            entry = await self._choose_entry()
             try:
                 answer = await self.open(entry, method, path, body, headers)
                 content = await read_whole(answer)
             except ConnectFailed as error:
-                trouble = str(error)
+                last_error = str(error)
             except AnswerLost as error:
-                trouble = str(error)
-                lost = True
+                last_error = str(error)
+                response_lost = True
                 if not may_resend:
                     break
             else:
-                if not _is_leaving(answer.status, content):
+                if not _is_draining(answer.status, content):
                     return GatewayReply(
                         status=answer.status,
                         headers=answer.headers,
                         body=content,
                         entry=entry,
-                        may_have_run=lost,
+                        may_have_run=response_lost,
                     )
-                trouble = f"{entry} is shutting down"
-            self._book.avoid(entry)
-            await self._pause(attempt)
-        raise ClientError(trouble, may_have_run=lost)
+                last_error = f"{entry} is shutting down"
+            self._entry_table.avoid(entry)
+            await self._back_off(attempt)
+        raise ClientError(last_error, may_have_run=response_lost)
 
     async def stream(
         self,
@@ -165,38 +164,38 @@
         body: bytes = b"",
         headers: Mapping[str, str] | None = None,
     ) -> AsyncIterator[bytes]:
-        """Send a request and yield its reply as it comes.
+        """Send a request and yield its reply as it arrives.
 
-        It moves to another entry until the first part has come. A stream
-        that breaks later is not sent again: its caller has part of it.
+        Other entries are tried only until the first chunk has arrived. A
+        stream that breaks later is not retried.
 
-        :raises ClientError: if no entry VM gave a reply, or it was cut
+        :raises ClientError: if no entry VM answered, or the stream broke
         """
-        trouble = "no entry VM is known"
-        for attempt in range(MAX_TRIES):
-            entry = await self._choose()
+        last_error = "no entry VM is known"
+        for attempt in range(MAX_ATTEMPTS):
+            entry = await self._choose_entry()
             try:
                 answer = await self.open(entry, method, path, body, headers)
-                held = b""
+                refusal_body = b""
                 async for part in answer.chunks():
-                    if answer.status == _REFUSED_STATUS:
-                        held += part
+                    if answer.status == _UNAVAILABLE_STATUS:
+                        refusal_body += part
                     else:
                         yield part
             except ConnectFailed as error:
-                trouble = str(error)
+                last_error = str(error)
             except AnswerLost as error:
-                self._book.avoid(entry)
+                self._entry_table.avoid(entry)
                 raise ClientError(str(error), may_have_run=True) from error
             else:
-                if not _is_leaving(answer.status, held):
-                    if held:
-                        yield held
+                if not _is_draining(answer.status, refusal_body):
+                    if refusal_body:
+                        yield refusal_body
                     return
-                trouble = f"{entry} is shutting down"
-            self._book.avoid(entry)
-            await self._pause(attempt)
-        raise ClientError(trouble, may_have_run=False)
+                last_error = f"{entry} is shutting down"
+            self._entry_table.avoid(entry)
+            await self._back_off(attempt)
+        raise ClientError(last_error, may_have_run=False)
 
     async def open(
         self,
@@ -206,11 +205,11 @@
         body: bytes = b"",
         headers: Mapping[str, str] | None = None,
         *,
-        timeout: float = ANSWER_TIMEOUT_SECONDS,
+        timeout: float = RESPONSE_HEAD_TIMEOUT_SECONDS,
     ) -> UpstreamAnswer:
-        """Send a request to one entry VM and return the open answer.
+        """Send a request to one entry VM and return the open response.
 
-        :param timeout: seconds to wait for the head of the answer
+        :param timeout: seconds to wait for the head of the response
         """
         call = UpstreamCall(
             method=method,
@@ -226,29 +225,29 @@
         return await self._http.open(call)
 
     async def fetch_entries(self) -> list[EntryChoice]:
-        """Return the entry VMs to use, asking for them when out of date.
+        """Return the entry VMs to use, refreshing an expired list.
 
-        While nobody answers, the last list stays in use.
+        If no entry VM answers, the expired list stays in use.
         """
-        if not self._book.is_valid():
-            for url in self._book.sources():
-                found = await self._ask(url)
-                if found is not None:
-                    self._book.take(found)
+        if not self._entry_table.is_valid():
+            for url in self._entry_table.candidate_urls():
+                entry_list = await self._query_entries(url)
+                if entry_list is not None:
+                    self._entry_table.update(entry_list)
                     break
-        return self._book.entries
+        return self._entry_table.entries
 
-    async def _ask(self, url: str) -> EntryList | None:
+    async def _query_entries(self, url: str) -> EntryList | None:
         path = "/v1/entries"
         if self._data_centre is not None:
             path += f"?data_centre={self._data_centre}"
         try:
             answer = await self.open(
-                url, "GET", path, timeout=LIST_TIMEOUT_SECONDS
+                url, "GET", path, timeout=ENTRY_LIST_TIMEOUT_SECONDS
             )
             body = await read_whole(answer)
         except (ConnectFailed, AnswerLost):
-            self._book.avoid(url)
+            self._entry_table.avoid(url)
             return None
         if answer.status != 200:
             return None
@@ -257,26 +256,28 @@
         except msgspec.MsgspecError:
             return None
 
-    async def _pause(self, attempt: int) -> None:
-        seconds = min(MAX_PAUSE_SECONDS, PAUSE_SECONDS * 2**attempt)
-        # Jitter: the callers of a dead entry must not move in step.
+    async def _back_off(self, attempt: int) -> None:
+        seconds = min(
+            MAX_BACKOFF_SECONDS, INITIAL_BACKOFF_SECONDS * 2**attempt
+        )
+        # Jitter keeps the clients of a failed entry from retrying in step.
         await self._clock.sleep(seconds * (0.5 + self._rng.random()))
 
-    async def _choose(self) -> str:
+    async def _choose_entry(self) -> str:
         await self.fetch_entries()
-        return self._book.choose()
+        return self._entry_table.choose()
 
 
-def _has_key(headers: Mapping[str, str] | None) -> bool:
+def _has_idempotency_key(headers: Mapping[str, str] | None) -> bool:
     return any(name.lower() == IDEMPOTENCY_HEADER for name in headers or {})
 
 
-def _is_leaving(status: int, body: bytes) -> bool:
-    if status != _REFUSED_STATUS:
+def _is_draining(status: int, body: bytes) -> bool:
+    if status != _UNAVAILABLE_STATUS:
         return False
     try:
         refusal = msgspec.json.decode(body, type=_RefusalBody).error
     except msgspec.MsgspecError:
         return False
-    is_draining = refusal.code == RefusalCode.DRAINING.value
-    return is_draining and refusal.verdict == Verdict.NOT_RUN.value
+    has_draining_code = refusal.code == RefusalCode.DRAINING.value
+    return has_draining_code and refusal.verdict == Verdict.NOT_RUN.value
--- a/burdockdrum/client/entries.py
+++ b/burdockdrum/client/entries.py
@@ -1,4 +1,4 @@
-"""The entry VMs that a client knows, and those that just failed it."""
+"""The entry VMs that a client knows, and those that failed recently."""
 
 import random
 
@@ -6,19 +6,19 @@
 from burdockdrum.vms import EntryChoice
 from burdockdrum.vms import EntryList
 
-# A dead entry stays on the gateway's lists until the others have noticed.
-AVOID_SECONDS = 10.0
+# A failed entry stays on the gateway's lists until its peers detect it.
+AVOIDANCE_SECONDS = 10.0
 
 
-class EntryBook:
-    """A list of entries with a validity, and what to avoid."""
+class EntryTable:
+    """A list of entries with an expiry, and the entries to avoid."""
 
     def __init__(
         self, *, seeds: list[str], clock: Clock, rng: random.Random
     ) -> None:
-        """Create an empty book.
+        """Create an empty table.
 
-        :param seeds: URLs that are used while there is no list
+        :param seeds: URLs to use as long as there is no list
         """
         self.entries: list[EntryChoice] = []
         self._seeds = seeds
@@ -28,45 +28,45 @@
         self._avoid_until_by_url: dict[str, float] = {}
 
     def is_valid(self) -> bool:
-        """Say whether the list may be used without asking again."""
+        """Return whether the list has not expired."""
         return bool(self.entries) and self._clock.monotonic() < (
             self._valid_until
         )
 
-    def take(self, found: EntryList) -> None:
-        """Replace the list."""
-        self.entries = found.entries
-        self._valid_until = self._clock.monotonic() + found.valid_seconds
+    def update(self, entry_list: EntryList) -> None:
+        """Replace the list and restart its validity."""
+        self.entries = entry_list.entries
+        self._valid_until = self._clock.monotonic() + entry_list.valid_seconds
 
     def avoid(self, url: str) -> None:
-        """Choose others than this one for a while."""
-        until = self._clock.monotonic() + AVOID_SECONDS
-        self._avoid_until_by_url[url] = until
+        """Avoid an entry for a while, and expire the list."""
+        avoid_until = self._clock.monotonic() + AVOIDANCE_SECONDS
+        self._avoid_until_by_url[url] = avoid_until
         self._valid_until = float("-inf")
 
-    def sources(self) -> list[str]:
-        """Return whom to ask for a list, in a random order.
+    def candidate_urls(self) -> list[str]:
+        """Return the URLs to query for a list, failed ones last.
 
-        Those that failed come last. The order is random so that clients
-        with the same seeds do not all ask the first.
+        The order is random, so that clients with the same seeds don't all
+        query the same VM.
         """
-        known = [entry.url for entry in self.entries]
-        urls = sorted({*known, *self._seeds})
+        listed_urls = [entry.url for entry in self.entries]
+        urls = sorted({*listed_urls, *self._seeds})
         self._rng.shuffle(urls)
         urls.sort(key=self._is_avoided)
         return urls
 
     def choose(self) -> str:
-        """Return an entry by weight; backups and seeds when all failed."""
-        good = [e for e in self.entries if not self._is_avoided(e.url)]
-        weighted = [entry for entry in good if entry.weight > 0]
+        """Return an entry by weight, else a backup, else any known URL."""
+        available = [e for e in self.entries if not self._is_avoided(e.url)]
+        weighted = [entry for entry in available if entry.weight > 0]
         if weighted:
             weights = [entry.weight for entry in weighted]
             return self._rng.choices(weighted, weights=weights)[0].url
-        if good:
-            return good[0].url
-        return self.sources()[0]
+        if available:
+            return available[0].url
+        return self.candidate_urls()[0]
 
     def _is_avoided(self, url: str) -> bool:
-        until = self._avoid_until_by_url.get(url, float("-inf"))
-        return until > self._clock.monotonic()
+        avoid_until = self._avoid_until_by_url.get(url, float("-inf"))
+        return avoid_until > self._clock.monotonic()
--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -1,4 +1,4 @@
-"""What a caller's client does when its entry fails."""
+"""Tests of the client's failover between entries."""
 
 import random
 import unittest
@@ -22,8 +22,8 @@
 )
 
 
-class Entries:
-    """Two entries; the first one chosen fails as told."""
+class TwoEntries:
+    """Two entries, the first of which to be called fails."""
 
     def __init__(self, *, fail) -> None:
         self.web = FakeWeb(network=FakeNetwork(rng=random.Random(1)))
@@ -64,51 +64,50 @@
         return msgspec.json.encode({"entries": entries, "valid_seconds": 5.0})
 
 
-def lose() -> FakeAnswer:
+def lose_response() -> FakeAnswer:
     raise AnswerLost("the entry died")
 
 
-def drain() -> FakeAnswer:
+def refuse_as_draining() -> FakeAnswer:
     return FakeAnswer(status=503, body=DRAINING)
 
 
 class ClientTest(unittest.TestCase):
-    """One call whose first entry fails."""
+    """A call whose first entry fails."""
 
-    def check_moved(self, entries: Entries) -> None:
+    def check_each_entry_called_once(self, entries: TwoEntries) -> None:
         names = [name for name, _ in entries.calls]
         self.assertEqual(["one", "two"], sorted(names))
 
-    def test_repeatable_request_moves_to_another_entry(self):
+    def test_repeatable_request_is_retried_at_another_entry(self):
         async def main():
-            entries = Entries(fail=lose)
+            entries = TwoEntries(fail=lose_response)
             reply = await entries.client.call("POST", "/v1/completions")
-            self.check_moved(entries)
+            self.check_each_entry_called_once(entries)
             self.assertTrue(reply.ok)
             self.assertTrue(reply.may_have_run)
 
         run_virtual(main())
 
-    def test_unrepeatable_request_is_sent_again_under_its_key(self):
-        # The entry dies after it got a booking. The client sends it to
-        # another entry under the same key, which the gateway runs at most
-        # once.
+    def test_unrepeatable_request_is_retried_with_its_key(self):
+        # The gateway runs requests with the same key at most once, so the
+        # retry at another entry is safe.
         async def main():
-            entries = Entries(fail=lose)
+            entries = TwoEntries(fail=lose_response)
             headers = {"Idempotency-Key": "k1", "x-unrepeatable": "true"}
             reply = await entries.client.call(
                 "POST", "/services/b/", headers=headers, repeatable=False
             )
-            self.check_moved(entries)
+            self.check_each_entry_called_once(entries)
             self.assertTrue(reply.ok)
             keys = {c.headers["Idempotency-Key"] for _, c in entries.calls}
             self.assertEqual({"k1"}, keys)
 
         run_virtual(main())
 
-    def test_unrepeatable_request_without_a_key_is_not_sent_again(self):
+    def test_unrepeatable_request_without_a_key_is_not_retried(self):
         async def main():
-            entries = Entries(fail=lose)
+            entries = TwoEntries(fail=lose_response)
             with self.assertRaises(ClientError) as caught:
                 await entries.client.call(
                     "POST", "/services/b/", repeatable=False
@@ -118,36 +117,36 @@
 
         run_virtual(main())
 
-    def test_entry_that_shuts_down_is_left_whatever_the_request(self):
+    def test_any_request_moves_on_from_a_draining_entry(self):
         async def main():
-            entries = Entries(fail=drain)
+            entries = TwoEntries(fail=refuse_as_draining)
             reply = await entries.client.call(
                 "POST", "/services/b/", repeatable=False
             )
-            self.check_moved(entries)
+            self.check_each_entry_called_once(entries)
             self.assertTrue(reply.ok)
             self.assertFalse(reply.may_have_run)
 
         run_virtual(main())
 
-    def test_stream_moves_on_before_its_first_part(self):
+    def test_stream_moves_on_before_its_first_chunk(self):
         async def main():
-            entries = Entries(fail=drain)
+            entries = TwoEntries(fail=refuse_as_draining)
             stream = entries.client.stream("POST", "/v1/completions")
             parts = [part async for part in stream]
-            self.check_moved(entries)
+            self.check_each_entry_called_once(entries)
             self.assertEqual(1, len(parts))
             self.assertTrue(parts[0].startswith(b"done by"))
 
         run_virtual(main())
 
-    def test_stream_that_breaks_is_an_error_and_not_sent_again(self):
+    def test_broken_stream_is_an_error_and_not_retried(self):
         async def broken():
             yield b"part"
             raise AnswerLost("cut")
 
         async def main():
-            entries = Entries(fail=lambda: FakeAnswer(body=broken()))
+            entries = TwoEntries(fail=lambda: FakeAnswer(body=broken()))
             parts = []
             with self.assertRaises(ClientError) as caught:
                 async for part in entries.client.stream("POST", "/v1/x"):
@@ -158,9 +157,9 @@
 
         run_virtual(main())
 
-    def test_dead_entry_is_not_tried_again_while_the_list_names_it(self):
+    def test_failed_entry_is_avoided(self):
         async def main():
-            entries = Entries(fail=lambda: FakeAnswer(body=b"ok"))
+            entries = TwoEntries(fail=lambda: FakeAnswer(body=b"ok"))
             await entries.client.call("GET", "/v1/models")
             entries.web.stop("http://one:80")
             for _ in range(20):
