--- a/burdockdrum/daemon/__init__.py
+++ b/burdockdrum/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon: the services of one VM put together."""
+"""The daemon that runs all services of one VM."""
 
 from burdockdrum.daemon.assembly import assemble
 from burdockdrum.daemon.daemon import Daemon
--- a/burdockdrum/daemon/__main__.py
+++ b/burdockdrum/daemon/__main__.py
@@ -31,7 +31,7 @@
 
 from burdockdrum.consensus import CorruptLog
 from burdockdrum.daemon.daemon import Daemon
-from burdockdrum.daemon.logs import set_up_log
+from burdockdrum.daemon.logging_setup import set_up_log
 from burdockdrum.ports import DiskError
 from burdockdrum.settings import load_settings
 from burdockdrum.settings import Settings
@@ -39,8 +39,8 @@
 
 EXIT_FAILED = 70
 EXIT_SETTINGS = 78
-# Their text says what to do; a traceback would only hide it.
-_EXPLAINED = (CorruptLog, DiskError)
+# Their message tells the operator what to do, so no traceback is logged.
+_OPERATOR_ERRORS = (CorruptLog, DiskError)
 
 
 async def _run(settings: Settings) -> None:
@@ -48,19 +48,21 @@
 
 
 def report_failure(group: BaseExceptionGroup) -> None:
-    """Log why the daemon's parts failed."""
-    explained, others = group.split(_EXPLAINED)
-    if explained is not None:
-        for error in _leaves(explained):
+    """Log why services of the daemon failed."""
+    operator_errors, unexpected = group.split(_OPERATOR_ERRORS)
+    if operator_errors is not None:
+        for error in _flatten(operator_errors):
             logger.error("{}", error)
-    if others is not None:
-        logger.opt(exception=others).error("a part of the daemon failed")
+    if unexpected is not None:
+        logger.opt(exception=unexpected).error(
+            "a service of the daemon failed"
+        )
 
 
-def _leaves(error: BaseException) -> list[BaseException]:
+def _flatten(error: BaseException) -> list[BaseException]:
     if not isinstance(error, BaseExceptionGroup):
         return [error]
-    return [leaf for inner in error.exceptions for leaf in _leaves(inner)]
+    return [leaf for member in error.exceptions for leaf in _flatten(member)]
 
 
 def _version() -> str:
--- a/burdockdrum/daemon/assembly.py
+++ b/burdockdrum/daemon/assembly.py
@@ -1,8 +1,7 @@
-"""Name the services of a VM.
+"""Assemble the services of a VM.
 
-Each package names its own; a factory finds by name what it needs. Replacing
-one before the kernel runs is how an embedder or a test supplies its own
-ports or parts.
+Each package registers its own services with the kernel. An embedder or a
+test can replace any of them before the kernel runs.
 """
 
 import random
@@ -56,9 +55,9 @@
     rng: random.Random,
     disk: Disk | None = None,
 ) -> Kernel:
-    """Return a kernel with every service of a VM named.
+    """Return a kernel with all services of a VM registered.
 
-    The ports come from the caller: real ones in the daemon, fakes in tests.
+    The caller supplies the ports: real ones in the daemon, fakes in tests.
 
     :param disk: the data folder, on a control VM only
     """
--- a/burdockdrum/daemon/daemon.py
+++ b/burdockdrum/daemon/daemon.py
@@ -1,4 +1,4 @@
-"""One VM's process from its start to its exit."""
+"""The life cycle of one VM's process."""
 
 import asyncio
 import pathlib
@@ -25,37 +25,39 @@
 from burdockdrum.web import bind
 from burdockdrum.web import WebServer
 
-STOP_SECONDS = 2.0
-_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+CONNECTION_CLOSE_TIMEOUT_SECONDS = 2.0
+_STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 class Daemon:
-    """Run the services of a VM until a signal or a drain ends them."""
+    """Run the services of a VM until it is drained or stopped."""
 
     def __init__(self, *, settings: Settings) -> None:
-        """Create a daemon that has not started."""
+        """Create a daemon without starting it."""
         self._settings = settings
-        self._signals = 0
+        self._signal_count = 0
 
     async def run(self) -> None:
-        """Serve until told to stop, then finish what runs."""
+        """Serve until a signal or a drain, then finish active requests."""
         limit_threads()
         kernel = await self._assemble()
         drain = kernel.find("drain", Drain)
         loop = asyncio.get_running_loop()
-        running = asyncio.create_task(kernel.run())
-        for number in _SIGNALS:
-            loop.add_signal_handler(number, self._take_signal, drain, running)
-        drained = asyncio.create_task(drain.done.wait())
+        kernel_task = asyncio.create_task(kernel.run())
+        for number in _STOP_SIGNALS:
+            loop.add_signal_handler(
+                number, self._handle_signal, drain, kernel_task
+            )
+        drain_task = asyncio.create_task(drain.done.wait())
         await asyncio.wait(
-            {running, drained}, return_when=asyncio.FIRST_COMPLETED
+            {kernel_task, drain_task}, return_when=asyncio.FIRST_COMPLETED
         )
-        if drained.done():
+        if drain_task.done():
             await _stop_web(kernel.find("web", WebServer))
-        drained.cancel()
-        running.cancel()
+        drain_task.cancel()
+        kernel_task.cancel()
         try:
-            await running
+            await kernel_task
         except asyncio.CancelledError:
             pass
 
@@ -76,7 +78,7 @@
         tls = settings.listen.tls
         trust_file = tls.trust_file if tls is not None else None
         logger.info(
-            "{} serves callers on {} and peers on {}",
+            "{} listens for callers on {} and for peers on {}",
             identity.vm_id,
             identity.http_address,
             identity.control_address,
@@ -93,22 +95,22 @@
         kernel.add("web", lambda kernel: _build_web(kernel, listener))
         return kernel
 
-    def _take_signal(self, drain: Drain, running: asyncio.Task) -> None:
-        self._signals += 1
+    def _handle_signal(self, drain: Drain, kernel_task: asyncio.Task) -> None:
+        self._signal_count += 1
         drain.begin()
-        if self._signals > 1:
-            logger.warning("a second signal: not waiting for what runs")
-            running.cancel()
+        if self._signal_count > 1:
+            logger.warning("second signal: aborting the drain")
+            kernel_task.cancel()
 
 
 async def _stop_web(web: WebServer) -> None:
     web.stop()
     try:
-        # Only connections of watchers and status pages are left by now.
-        async with asyncio.timeout(STOP_SECONDS):
+        # After a drain, only connections of watchers and status pages remain.
+        async with asyncio.timeout(CONNECTION_CLOSE_TIMEOUT_SECONDS):
             await web.stopped.wait()
     except TimeoutError:
-        logger.info("closing connections that are still open")
+        logger.info("timed out: closing the remaining connections")
 
 
 def _open_disk(settings: Settings) -> FolderDisk | None:
--- a/burdockdrum/daemon/logs.py
+++ b/burdockdrum/daemon/logging_setup.py
@@ -1,4 +1,4 @@
-"""Set up the log."""
+"""The logging of the daemon."""
 
 import sys
 
@@ -12,7 +12,7 @@
 
 
 def set_up_log(settings: LogSettings, vm_id: str) -> None:
-    """Log to standard error, as text for people or as JSON lines."""
+    """Log to standard error, as text or as JSON lines."""
     logger.remove()
     logger.configure(extra={"vm": vm_id})
     if settings.format == "json":
--- a/tests/daemon/test_drain.py
+++ b/tests/daemon/test_drain.py
@@ -1,4 +1,4 @@
-"""Whole VMs that are replaced one after the other, under load."""
+"""Tests of a rolling replacement of entry VMs under load."""
 
 import asyncio
 import random
@@ -29,12 +29,12 @@
 CALLERS = 6
 
 
-class Load:
-    """Callers that stream one answer after the other and check each."""
+class StreamingLoad:
+    """Callers that stream answers continuously and check each of them."""
 
     def __init__(self, *, cluster: FakeCluster) -> None:
-        self.wrong: list[str] = []
-        self.whole = 0
+        self.failures: list[str] = []
+        self.complete_answers = 0
         self._cluster = cluster
         self._stopping = False
         self._messages = [{"role": "user", "content": "plan"}]
@@ -56,7 +56,7 @@
             try:
                 await self._check_one(client)
             except ClientError as error:
-                self.wrong.append(str(error))
+                self.failures.append(str(error))
 
     async def _check_one(self, client: GatewayClient) -> None:
         body = msgspec.json.encode(
@@ -79,19 +79,17 @@
                 text += choices[0].get("delta", {}).get("content", "")
         prompt = msgspec.json.encode(self._messages)
         if text == make_answer(prompt, TOKENS) and b"[DONE]" in lines:
-            self.whole += 1
+            self.complete_answers += 1
         else:
-            self.wrong.append(lines[-200:].decode())
+            self.failures.append(lines[-200:].decode())
 
 
 class RollingReplacementTest(unittest.TestCase):
     """A control VM in one data centre, three entries in another."""
 
-    def test_no_answer_is_cut_while_every_entry_is_replaced(self):
-        # An operator replaces the entries one after the other while six
-        # callers stream answers of three seconds. Each entry is told to
-        # drain, ends, and a new start takes its place. Every answer must
-        # be whole: none cut off, none refused for good.
+    def test_rolling_replacement_truncates_no_answer(self):
+        # Each entry is drained and replaced while six callers stream answers
+        # of three seconds. No answer may be truncated or finally refused.
         async def main():
             cluster = FakeCluster(seed=5)
             await cluster.start_vm(make_settings("a", "control", 1))
@@ -103,7 +101,7 @@
             await asyncio.sleep(5)
             await self.configure(cluster)
             await asyncio.sleep(5)
-            load = Load(cluster=cluster)
+            load = StreamingLoad(cluster=cluster)
             calling = [
                 asyncio.create_task(load.run(number))
                 for number in range(CALLERS)
@@ -116,8 +114,8 @@
             for engine in engines:
                 engine.cancel()
             await cluster.stop()
-            self.assertEqual([], load.wrong)
-            self.assertGreater(load.whole, 3 * CALLERS)
+            self.assertEqual([], load.failures)
+            self.assertGreater(load.complete_answers, 3 * CALLERS)
 
         run_virtual(main())
 
--- a/tests/daemon/test_hand_over.py
+++ b/tests/daemon/test_hand_over.py
@@ -1,4 +1,4 @@
-"""A control VM that leads is drained."""
+"""Tests of draining the leading control VM."""
 
 import asyncio
 import unittest
@@ -8,16 +8,15 @@
 from tests.configuration.deployment import Deployment
 
 CONTROL_IDS = ["n1.1", "s1.1", "e1.1"]
-SOON_SECONDS = 1.0
+HANDOVER_SECONDS = 1.0
 
 
 class HandOverTest(unittest.TestCase):
-    """Operators' changes go on while the leader is replaced."""
+    """Leadership while the leader is replaced."""
 
-    def test_leadership_is_handed_on_before_the_exit(self):
-        # An operator changes something just after the leader's VM exited.
-        # Had it only gone, the others would wait for an election first, two
-        # seconds or more; it hands leadership on as the last step.
+    def test_leadership_is_transferred_before_the_exit(self):
+        # The last step of a drain is a transfer of leadership. Without it,
+        # changes would wait two seconds or more for an election.
         async def main():
             deployment = Deployment(
                 seed=3, vm_ids=CONTROL_IDS, control_ids=CONTROL_IDS
@@ -29,7 +28,7 @@
             drain.begin()
             await drain.done.wait()
             await deployment.crash(leader)
-            await asyncio.sleep(SOON_SECONDS)
+            await asyncio.sleep(HANDOVER_SECONDS)
             self.assertNotIn(deployment.leader(), (None, leader))
             await deployment.stop()
 
--- a/tests/daemon/test_main.py
+++ b/tests/daemon/test_main.py
@@ -1,4 +1,4 @@
-"""How the daemon ends when a part of it fails."""
+"""Tests of the daemon's exit when a service fails."""
 
 import asyncio
 import io
@@ -29,7 +29,7 @@
 
 
 class FailureTest(unittest.TestCase):
-    """A control VM whose data can't be trusted."""
+    """The exit code and the log of a failed daemon."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -52,9 +52,9 @@
         ):
             return daemon.main()
 
-    def test_damaged_folder_is_named_and_the_exit_code_says_so(self):
-        # Synced data of a control VM is damaged. The process must not vote
-        # from what is left; the operator reads one line that names the file.
+    def test_corrupt_file_is_named_and_the_daemon_fails(self):
+        # A control VM with corrupt data must not vote. The operator gets one
+        # line that names the file, without a traceback.
         data = self.folder / "data"
         data.mkdir()
         (data / "identity").write_bytes(b"not an identity")
@@ -62,7 +62,7 @@
         self.assertIn("identity", self.output.getvalue())
         self.assertNotIn("Traceback", self.output.getvalue())
 
-    def test_unforeseen_error_is_logged_whole(self):
+    def test_unexpected_error_is_logged_with_its_traceback(self):
         async def fail(settings):
             async with asyncio.TaskGroup() as group:
                 group.create_task(asyncio.sleep(10))
--- a/tests/daemon/test_restart.py
+++ b/tests/daemon/test_restart.py
@@ -1,4 +1,4 @@
-"""An entry VM that has just started, seen by a caller with a good token."""
+"""Tests of requests to an entry VM that has just restarted."""
 
 import asyncio
 import unittest
@@ -16,9 +16,9 @@
 
 
 class RestartTest(unittest.TestCase):
-    """An entry without a disk is restarted."""
+    """An entry, which keeps no data on disk, is restarted."""
 
-    async def ask_for_models(self, deployment) -> tuple[int, dict]:
+    async def list_models(self, deployment) -> tuple[int, dict]:
         call = UpstreamCall(
             method="GET",
             url=deployment.url(ENTRY) + "/v1/models",
@@ -46,27 +46,26 @@
 
         run_virtual(main())
 
-    def test_good_token_is_not_called_wrong(self):
-        # A caller comes the moment its entry is back. The VM has heard of no
-        # client yet and said that the token was wrong, so the caller gave
-        # up. It waits for the configuration instead.
+    def test_valid_token_is_accepted_right_after_a_restart(self):
+        # Before it has received the configuration, the VM knows no clients.
+        # It must wait for it instead of rejecting a valid token.
         async def scenario(deployment):
             await deployment.restart(ENTRY)
-            status, _ = await self.ask_for_models(deployment)
+            status, _ = await self.list_models(deployment)
             self.assertEqual(200, status)
 
         self.run_deployment(scenario)
 
-    def test_vm_that_learns_nothing_says_so(self):
+    def test_vm_without_a_configuration_returns_503(self):
         async def scenario(deployment):
             await deployment.crash(ENTRY)
             deployment.cut([ENTRY])
             await deployment.start_vm(ENTRY)
             deployment.cut([ENTRY])
-            call = self.ask_for_models(deployment)
-            status, refused = await call
+            call = self.list_models(deployment)
+            status, response = await call
             self.assertEqual(503, status)
-            error = refused["error"]
+            error = response["error"]
             self.assertEqual("configuration_stale", error["code"])
             self.assertEqual("not run", error["verdict"])
 
--- a/tests/daemon/test_tls.py
+++ b/tests/daemon/test_tls.py
@@ -1,4 +1,4 @@
-"""A listener with TLS, over a real socket."""
+"""Tests of a TLS listener over a loopback socket."""
 
 import asyncio
 import logging
@@ -29,7 +29,7 @@
 
 
 class TlsTest(unittest.IsolatedAsyncioTestCase):
-    """A client that trusts the certificate is served, another one not."""
+    """Clients that trust the server's certificate, and that don't."""
 
     async def asyncSetUp(self):
         application = Application(router=Router())
@@ -48,21 +48,21 @@
         self.web.stop()
         await self.serving
 
-    async def call(self, trust: ssl.SSLContext | None):
-        http = PooledHttpClient(ssl_context=trust)
+    async def call(self, context: ssl.SSLContext | None):
+        http = PooledHttpClient(ssl_context=context)
         call = UpstreamCall(method="GET", url=self.url, connect_timeout=10)
         answer = await http.open(call)
         body = await read_whole(answer)
         await http.close()
         return answer.status, body
 
-    async def test_trusted_certificate(self):
-        trust = make_ssl_context(CERTIFICATE)
-        self.assertEqual((200, b"hello"), await self.call(trust))
+    async def test_trusted_certificate_is_accepted(self):
+        context = make_ssl_context(CERTIFICATE)
+        self.assertEqual((200, b"hello"), await self.call(context))
 
-    async def test_untrusted_certificate_means_not_sent(self):
-        # The caller is told that nothing was sent: the handshake fails
-        # before a byte of the request could leave. The server logs it.
+    async def test_untrusted_certificate_is_a_connect_failure(self):
+        # The handshake fails before a byte of the request is sent. The
+        # server's log of the failure is silenced.
         logging.getLogger("asyncio").setLevel(logging.CRITICAL)
         self.addCleanup(logging.getLogger("asyncio").setLevel, logging.WARNING)
         with self.assertRaises(ConnectFailed):
--- a/tests/daemon/test_whole_path.py
+++ b/tests/daemon/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path in one process, under virtual time."""
+"""End-to-end tests in one process under virtual time."""
 
 import asyncio
 import random
@@ -63,7 +63,7 @@
 
 
 def connect(cluster: FakeCluster, token: str) -> GatewayClient:
-    """Return a client that begins at the first VM."""
+    """Return a client whose seed is the first VM."""
     return GatewayClient(
         seeds=["http://127.0.0.1:2001"],
         token=token,
@@ -79,7 +79,7 @@
 
 
 async def put(operator: GatewayClient, kind: str, name: str, spec: dict):
-    """Put a resource, or fail the test."""
+    """Put a resource and check that it was accepted."""
     body = msgspec.json.encode({"spec": spec})
     reply = await operator.call(
         "PUT", f"/v1/resources/{kind}/{name}", body=body
@@ -90,7 +90,7 @@
 async def start_engine(
     cluster: FakeCluster, number: int, engine: EmulatedEngine
 ) -> asyncio.Task:
-    """Let an engine announce itself to one entry VM."""
+    """Start an engine that announces itself to one entry VM."""
     application = build_engine_application(engine)
     await application.start()
     url = f"http://127.0.0.1:{3000 + number}"
@@ -122,8 +122,10 @@
     )
 
 
-async def run_with_engines(engines: dict[int, EmulatedEngine], use) -> None:
-    """Run a coroutine with a caller at the entry VM of the north.
+async def run_with_engines(
+    engines: dict[int, EmulatedEngine], scenario
+) -> None:
+    """Run a scenario with a caller at the entry VM of the north.
 
     :param engines: by entry VM: 1 in the north, 2 in the south
     """
@@ -147,7 +149,7 @@
     await put(operator, "client", "crew", client)
     await asyncio.sleep(5)
     try:
-        await use(connect(cluster, "caller"))
+        await scenario(connect(cluster, "caller"))
     finally:
         for task in announcing:
             task.cancel()
@@ -157,7 +159,7 @@
 async def complete(
     caller: GatewayClient, content: str, entry: str = "http://127.0.0.1:2001"
 ) -> tuple[int, str]:
-    """Send a completion to an entry; return the status and the text."""
+    """Send a completion request; return the status and the text."""
     messages = [{"role": "user", "content": content}]
     body = {"model": "planner", "messages": messages, "max_tokens": TOKENS}
     path = "/v1/chat/completions"
@@ -167,45 +169,43 @@
         return reply.status, content
     answer = msgspec.json.decode(content)
     text = answer["choices"][0]["message"]["content"]
-    wanted = make_answer(msgspec.json.encode(messages), TOKENS)
-    return reply.status, "whole" if text == wanted else text
+    expected = make_answer(msgspec.json.encode(messages), TOKENS)
+    return reply.status, "whole" if text == expected else text
 
 
 class WholePathTest(unittest.TestCase):
-    """An operator, an endpoint and a caller, over two VMs of two regions."""
+    """An operator, engines and a caller with two VMs in two regions."""
 
-    def test_request_is_answered_through_another_region(self):
-        async def use(caller):
+    def test_request_is_forwarded_to_another_region(self):
+        async def scenario(caller):
             self.assertEqual((200, "whole"), await complete(caller, "hello"))
 
-        run_virtual(run_with_engines({2: make_engine()}, use))
+        run_virtual(run_with_engines({2: make_engine()}, scenario))
 
-    def test_burst_for_a_service_hosted_elsewhere_waits_its_turn(self):
+    def test_burst_for_a_service_of_another_region_is_queued(self):
         # Callers in the north send five times what the only engine, in the
-        # south, runs at once. They are no spill: the north has no endpoint
-        # for them. Refused as such, most saw "overloaded" while the engine
-        # was idle half a second later; they have to wait their turn there.
-        async def use(caller):
+        # south, runs at once. The north has no endpoint, so this is no
+        # overflow: the requests must be queued and not refused as overload.
+        async def scenario(caller):
             calls = [complete(caller, f"plan {i}") for i in range(5 * SLOTS)]
             answers = await asyncio.gather(*calls)
             self.assertEqual({(200, "whole")}, set(answers))
 
-        run_virtual(run_with_engines({2: make_engine()}, use))
+        run_virtual(run_with_engines({2: make_engine()}, scenario))
 
-    def test_full_neighbour_sends_requests_back_to_the_line(self):
-        # Both regions have an engine; the north gets eight times what its
-        # own runs at once. The south's summary shows room for a moment after
-        # its own callers have taken it, and it refuses what comes. Those
-        # refused must wait their turn again, or they get past all who wait.
+    def test_request_refused_by_a_full_region_is_queued_again(self):
+        # The south's summary still shows free capacity when its own callers
+        # have used it, so it refuses requests from the north. These must be
+        # queued again, or they would overtake the waiting requests.
         engines = {1: make_engine(0.2), 2: make_engine(0.2)}
-        returned = []
+        requeued_client_ids = []
         wait_again = Admission.wait_again
 
-        async def note(admission, client_id, request):
-            returned.append(client_id)
+        async def record_wait(admission, client_id, request):
+            requeued_client_ids.append(client_id)
             await wait_again(admission, client_id, request)
 
-        async def use(caller):
+        async def scenario(caller):
             calls = [complete(caller, f"plan {i}") for i in range(8 * SLOTS)]
             calls += [
                 complete(caller, f"own {i}", entry="http://127.0.0.1:2002")
@@ -214,6 +214,6 @@
             answers = await asyncio.gather(*calls)
             self.assertEqual({(200, "whole")}, set(answers))
 
-        with mock.patch.object(Admission, "wait_again", note):
-            run_virtual(run_with_engines(engines, use))
-        self.assertTrue(returned)
+        with mock.patch.object(Admission, "wait_again", record_wait):
+            run_virtual(run_with_engines(engines, scenario))
+        self.assertTrue(requeued_client_ids)
