--- a/burdockdrum/gateway/__init__.py
+++ b/burdockdrum/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""A VM that passes requests through, without the OpenAI-style faces."""
+"""A pass-through VM, without the OpenAI-compatible API."""
 
 from burdockdrum.gateway.assembly import assemble
 from burdockdrum.gateway.process import Gateway
--- a/burdockdrum/gateway/assembly.py
+++ b/burdockdrum/gateway/assembly.py
@@ -1,4 +1,4 @@
-"""Name the services of a VM that passes requests through."""
+"""Assemble the services of a pass-through VM."""
 
 import random
 
@@ -33,8 +33,10 @@
     burdockdrum.passthrough,
 )
 
-# Names that a log line has a meaning for: ``vm`` is the process that writes.
-_TAKEN = frozenset({"at", "event", "level", "revision", "stamp", "vm"})
+# Fields of every log line; ``vm`` is the process that writes it.
+_RESERVED_FIELDS = frozenset(
+    {"at", "event", "level", "revision", "stamp", "vm"}
+)
 
 
 def assemble(
@@ -46,7 +48,7 @@
     rng: random.Random,
     disk: Disk | None = None,
 ) -> Kernel:
-    """Return a kernel: a control VM's with a disk, else an entry's."""
+    """Return the kernel of a control VM, or without a disk of an entry."""
     kernel = make_kernel(
         settings=settings,
         identity=identity,
@@ -66,7 +68,7 @@
         event.name,
         revision=event.revision,
         **{
-            f"about_{name}" if name in _TAKEN else name: value
+            f"about_{name}" if name in _RESERVED_FIELDS else name: value
             for name, value in event.details.items()
         },
     )
--- a/burdockdrum/gateway/base.py
+++ b/burdockdrum/gateway/base.py
@@ -1,4 +1,4 @@
-"""What the kernel of every VM begins with, whatever faces it has."""
+"""The services that every VM has, whichever APIs it serves."""
 
 from collections.abc import Callable
 import random
@@ -25,10 +25,10 @@
     disk: Disk | None = None,
     sink: Callable[[Event], None] | None = None,
 ) -> Kernel:
-    """Return a kernel with the ports, metrics and time line of a VM.
+    """Return a kernel with the ports, metrics and timeline of a VM.
 
     :param disk: the data folder, on a control VM only
-    :param sink: is given each event of the time line
+    :param sink: called with each event of the timeline
     """
     kernel = Kernel()
     kernel.provide("settings", settings)
--- a/burdockdrum/gateway/process.py
+++ b/burdockdrum/gateway/process.py
@@ -1,4 +1,4 @@
-"""One VM's process: its start, its signals, its end."""
+"""The life cycle and the signal handlers of a pass-through VM's process."""
 
 import asyncio
 from collections.abc import Callable
@@ -27,7 +27,7 @@
 
 
 class Gateway:
-    """Run the services of a VM until a signal ends them."""
+    """Run the services of a VM until it is drained or stopped."""
 
     def __init__(
         self,
@@ -37,10 +37,10 @@
         extend: Callable[[Kernel], None],
         reload: Callable[[], Settings],
     ) -> None:
-        """Create a VM that has not started.
+        """Create a VM without starting it.
 
-        :param name: what operators call the VM
-        :param extend: adds the faces of a deployment to the kernel
+        :param name: the VM's name in the log
+        :param extend: registers the services of a deployment's own APIs
         :param reload: reads the settings again
         """
         self._settings = settings
@@ -49,9 +49,9 @@
         self._reload = reload
 
     async def run(self) -> None:
-        """Serve until told to stop, then finish what runs."""
+        """Serve until a signal or a drain, then finish active requests."""
         log = set_up_structured_log(self._settings.log, self._name)
-        writing = asyncio.create_task(log.run())
+        log_task = asyncio.create_task(log.run())
         limit_threads()
         try:
             await self._serve(log)
@@ -60,26 +60,28 @@
             raise
         finally:
             log_decision("process.stopped")
-            writing.cancel()
-            await asyncio.gather(writing, return_exceptions=True)
+            log_task.cancel()
+            await asyncio.gather(log_task, return_exceptions=True)
 
     async def _serve(self, log: StructuredLog) -> None:
         kernel = await self._assemble()
         log.read_stamp = kernel.find("timeline", Timeline).clock.tick
         drain = kernel.find("drain", Drain)
         loop = asyncio.get_running_loop()
-        for number in _STOP_SIGNALS:
-            loop.add_signal_handler(number, self._stop, drain, number)
-        loop.add_signal_handler(signal.SIGHUP, self._take_reload)
-        running = asyncio.create_task(kernel.run())
-        drained = asyncio.create_task(drain.done.wait())
+        for signal_number in _STOP_SIGNALS:
+            loop.add_signal_handler(
+                signal_number, self._begin_drain, drain, signal_number
+            )
+        loop.add_signal_handler(signal.SIGHUP, self._reload_settings)
+        kernel_task = asyncio.create_task(kernel.run())
+        drain_task = asyncio.create_task(drain.done.wait())
         await asyncio.wait(
-            {running, drained}, return_when=asyncio.FIRST_COMPLETED
+            {kernel_task, drain_task}, return_when=asyncio.FIRST_COMPLETED
         )
-        drained.cancel()
-        running.cancel()
+        drain_task.cancel()
+        kernel_task.cancel()
         try:
-            await running
+            await kernel_task
         except asyncio.CancelledError:
             log_decision("process.services_ended")
 
@@ -116,15 +118,17 @@
         )
         return kernel
 
-    def _stop(self, drain: Drain, number: int) -> None:
-        log_decision("process.stopping", signal=signal.Signals(number).name)
+    def _begin_drain(self, drain: Drain, signal_number: int) -> None:
+        log_decision(
+            "process.stopping", signal=signal.Signals(signal_number).name
+        )
         drain.begin()
 
-    def _take_reload(self) -> None:
-        """Read the settings again and say what a restart would change.
+    def _reload_settings(self) -> None:
+        """Read the settings again and log which changes need a restart.
 
-        All that changes while a VM runs comes with the configuration; the
-        settings only say who a VM is and whom it asks first.
+        Settings only hold a VM's identity and its seeds and never change at
+        run time; what does change at run time is the configuration.
         """
         try:
             settings = self._reload()
--- a/tests/gateway/__init__.py
+++ b/tests/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the process of a pass-through VM."""
+"""Tests of burdockdrum.gateway."""
--- a/tests/gateway/test_assembly.py
+++ b/tests/gateway/test_assembly.py
@@ -1,4 +1,4 @@
-"""Tests of what the time line's events are in the log."""
+"""Tests of how timeline events are logged."""
 
 import unittest
 from unittest import mock
@@ -9,11 +9,11 @@
 
 
 class LogEventTest(unittest.TestCase):
-    """An event that names another VM."""
+    """An event whose details name another VM."""
 
-    def test_line_stays_the_writers(self):
-        # Seen in an incident: the leader's line on a member that it removed
-        # bore that member's name as its writer.
+    def test_reserved_fields_of_details_are_renamed(self):
+        # Otherwise the leader's log line on a removed member would name that
+        # member as the VM that wrote it.
         event = Event(
             stamp=Stamp(1, 0),
             process="vm-1",
