--- a/burdockdrum/cli/__init__.py
+++ b/burdockdrum/cli/__init__.py
@@ -1,3 +1,3 @@
-"""The operators' and callers' command-line tool."""
+"""The command-line tool for operators and callers."""
 
 __all__: list[str] = []
--- a/burdockdrum/cli/__main__.py
+++ b/burdockdrum/cli/__main__.py
@@ -103,11 +103,13 @@
         case {"timeline": True}:
             return await commands.show_timeline(arguments)
         case _:
-            return await _run_on_one_vm(commands, arguments)
+            return await _run_on_named_vm(commands, arguments)
 
 
-async def _run_on_one_vm(commands: Commands, arguments: dict[str, Any]) -> int:
-    entry = _seeds(arguments)[0]
+async def _run_on_named_vm(
+    commands: Commands, arguments: dict[str, Any]
+) -> int:
+    entry = _parse_entry_urls(arguments)[0]
     match arguments:
         case {"members": True}:
             return await commands.show_members(entry)
@@ -121,9 +123,9 @@
             return await commands.drain(entry)
 
 
-def _seeds(arguments: dict[str, Any]) -> list[str]:
-    named = arguments["--entry"] or os.environ.get("BURDOCKDRUM_ENTRIES", "")
-    return [url for url in named.split(",") if url]
+def _parse_entry_urls(arguments: dict[str, Any]) -> list[str]:
+    urls = arguments["--entry"] or os.environ.get("BURDOCKDRUM_ENTRIES", "")
+    return [url for url in urls.split(",") if url]
 
 
 def main() -> int:
@@ -145,10 +147,10 @@
             arguments["REQUEST"], arguments["LOG"], as_json=arguments["--json"]
         )
     token = arguments["--token"] or os.environ.get("BURDOCKDRUM_TOKEN")
-    if not _seeds(arguments) or not token:
+    if not _parse_entry_urls(arguments) or not token:
         print("name entry VMs and a token; see --help", file=sys.stderr)
         return EXIT_USAGE
-    arguments["seeds"] = _seeds(arguments)
+    arguments["seeds"] = _parse_entry_urls(arguments)
     arguments["--token"] = token
     try:
         return asyncio.run(_run_command(arguments))
--- a/burdockdrum/cli/commands.py
+++ b/burdockdrum/cli/commands.py
@@ -1,4 +1,4 @@
-"""What each command does."""
+"""The commands of the command-line tool."""
 
 import pathlib
 import secrets
@@ -45,10 +45,10 @@
 
 
 class Commands:
-    """The commands that talk to the gateway; each returns an exit code."""
+    """The commands that call the gateway; each returns an exit code."""
 
     def __init__(self, *, client: GatewayClient, as_json: bool) -> None:
-        """Create the commands over a client."""
+        """Create the commands for a client."""
         self._client = client
         self._as_json = as_json
 
@@ -60,21 +60,21 @@
             print(f"{path}: {error!r}", file=sys.stderr)
             return EXIT_FILE
         for resource in resources:
-            code = await self._apply_one(resource)
+            code = await self._apply_resource(resource)
             if code != 0:
                 return code
         return 0
 
     async def get(self, kind: str, name: str) -> int:
-        """Show a resource, desired and in force."""
-        reply = await self._client.call("GET", _path(kind, name))
-        return self._show_reply(reply)
+        """Show a resource, its desired state and its status."""
+        reply = await self._client.call("GET", _resource_path(kind, name))
+        return self._print_reply(reply)
 
     async def show_list(self, kind: str) -> int:
-        """Show the resources of a kind."""
+        """List the resources of a kind."""
         reply = await self._client.call("GET", f"/v1/resources/{kind}")
         if self._as_json or not reply.ok:
-            return self._show_reply(reply)
+            return self._print_reply(reply)
         rows = [
             [
                 view["resource"]["name"],
@@ -96,26 +96,28 @@
         return 0
 
     async def delete(self, kind: str, name: str) -> int:
-        """Delete a resource at the version it is at now."""
+        """Delete a resource at its current version."""
         version = await self._read_version(kind, name)
         body = {
             "resource_version": version,
             "change_id": secrets.token_hex(16),
         }
         reply = await self._client.call(
-            "DELETE", _path(kind, name), body=msgspec.json.encode(body)
+            "DELETE",
+            _resource_path(kind, name),
+            body=msgspec.json.encode(body),
         )
-        return self._show_reply(reply)
+        return self._print_reply(reply)
 
     async def show_status(self) -> int:
-        """Show one VM's view of the system."""
-        return self._show_reply(await self._client.call("GET", "/v1/status"))
+        """Show one VM's view of the deployment."""
+        return self._print_reply(await self._client.call("GET", "/v1/status"))
 
     async def show_entries(self) -> int:
-        """Show which entry VMs to use."""
+        """List the entry VMs to use."""
         reply = await self._client.call("GET", "/v1/entries")
         if self._as_json or not reply.ok:
-            return self._show_reply(reply)
+            return self._print_reply(reply)
         entries = await self._client.fetch_entries()
         rows = [
             [e.vm_id, e.url, e.region, e.data_centre, str(e.weight)]
@@ -126,10 +128,10 @@
         return 0
 
     async def show_endpoints(self) -> int:
-        """Show the endpoints that one VM knows."""
+        """List the endpoints that one VM knows."""
         reply = await self._client.call("GET", "/v1/endpoints")
         if self._as_json or not reply.ok:
-            return self._show_reply(reply)
+            return self._print_reply(reply)
         rows = [
             [
                 endpoint["endpoint_id"],
@@ -145,7 +147,7 @@
         return 0
 
     async def send(self, arguments: dict[str, Any]) -> int:
-        """Send a chat completion and print its answer."""
+        """Send a chat completion request and print the answer."""
         body = msgspec.json.encode(
             {
                 "model": arguments["MODEL"],
@@ -165,46 +167,46 @@
             repeatable=not arguments["--unrepeatable"],
         )
         if self._as_json or not reply.ok:
-            return self._show_reply(reply)
+            return self._print_reply(reply)
         answer = msgspec.json.decode(reply.body)
         print(answer["choices"][0]["message"]["content"])
         return 0
 
     async def drain(self, entry: str) -> int:
-        """Let one VM finish its work and exit."""
-        return await self._call_one(entry, "POST", "/v1/drain")
+        """Drain one VM: it finishes its requests and exits."""
+        return await self._call_named_vm(entry, "POST", "/v1/drain")
 
     async def show_members(self, entry: str) -> int:
-        """Show the control VMs, as one of them knows them."""
-        return await self._call_one(entry, "GET", MEMBERS_PATH)
+        """Show the control VMs as seen by one of them."""
+        return await self._call_named_vm(entry, "GET", MEMBERS_PATH)
 
     async def add_member(
         self, entry: str, vm_id: str, address: str, disk_id: str
     ) -> int:
-        """Add a control VM with its disk; it votes once it holds the log."""
+        """Add a control VM, which votes once its log has caught up."""
         body = msgspec.json.encode({"address": address, "disk_id": disk_id})
         path = f"{MEMBERS_PATH}/{vm_id}"
-        return await self._call_one(entry, "PUT", path, body)
+        return await self._call_named_vm(entry, "PUT", path, body)
 
     async def remove_member(self, entry: str, vm_id: str) -> int:
         """Remove a control VM."""
         path = f"{MEMBERS_PATH}/{vm_id}"
-        return await self._call_one(entry, "DELETE", path)
+        return await self._call_named_vm(entry, "DELETE", path)
 
     async def show_quarantine(self) -> int:
-        """Show the requests that are suspected of crashing endpoints."""
+        """Show the requests suspected of crashing endpoints."""
         reply = await self._client.call("GET", "/v1/quarantine")
-        return self._show_reply(reply)
+        return self._print_reply(reply)
 
     async def lift(self, fingerprint: str) -> int:
-        """Let a quarantined request run again."""
+        """Release a request from quarantine."""
         path = f"/v1/quarantine/{fingerprint}"
-        return self._show_reply(await self._client.call("DELETE", path))
+        return self._print_reply(await self._client.call("DELETE", path))
 
-    async def _call_one(
+    async def _call_named_vm(
         self, entry: str, method: str, path: str, body: bytes = b""
     ) -> int:
-        """Call one VM that was named, rather than any of them."""
+        """Call a given VM, without failover to another."""
         answer = await self._client.open(entry, method, path, body)
         reply = GatewayReply(
             status=answer.status,
@@ -212,10 +214,10 @@
             body=await read_whole(answer),
             entry=entry,
         )
-        return self._show_reply(reply)
+        return self._print_reply(reply)
 
     async def show_timeline(self, arguments: dict[str, Any]) -> int:
-        """Merge the events of every VM into one time line."""
+        """Show the merged timeline of all entry VMs."""
         query = [
             f"{name}={value}"
             for name, value in (
@@ -255,17 +257,17 @@
                 buffer += part
                 *lines, buffer = buffer.split(b"\n")
                 for line in lines:
-                    complete = self._show_line(line) or complete
+                    complete = self._print_event_line(line) or complete
         except ClientError as error:
-            print(f"\nthe answer was cut: {error}", file=sys.stderr)
+            print(f"\nthe answer is incomplete: {error}", file=sys.stderr)
             return EXIT_MAY_HAVE_RUN
         print(buffer.decode())
         if complete:
             return 0
-        refused = _NOT_RUN.encode() in buffer
-        return EXIT_NOT_RUN if refused else EXIT_MAY_HAVE_RUN
+        is_not_run = _NOT_RUN.encode() in buffer
+        return EXIT_NOT_RUN if is_not_run else EXIT_MAY_HAVE_RUN
 
-    def _show_line(self, line: bytes) -> bool:
+    def _print_event_line(self, line: bytes) -> bool:
         if line == b"data: [DONE]":
             return True
         if line.startswith(b"data: "):
@@ -279,7 +281,7 @@
                 print(text, end="", flush=True)
         return False
 
-    async def _apply_one(self, resource: dict[str, Any]) -> int:
+    async def _apply_resource(self, resource: dict[str, Any]) -> int:
         kind, name = resource.pop("kind"), resource.pop("name")
         version = resource.pop("version", None)
         if version is None:
@@ -290,30 +292,32 @@
             "change_id": secrets.token_hex(16),
         }
         reply = await self._client.call(
-            "PUT", _path(kind, name), body=msgspec.json.encode(body)
+            "PUT", _resource_path(kind, name), body=msgspec.json.encode(body)
         )
-        return self._show_reply(reply)
+        return self._print_reply(reply)
 
     async def _read_version(self, kind: str, name: str) -> int:
-        reply = await self._client.call("GET", _path(kind, name))
+        reply = await self._client.call("GET", _resource_path(kind, name))
         if not reply.ok:
             return 0
         version: int = msgspec.json.decode(reply.body)["resource"]["version"]
         return version
 
-    def _show_reply(self, reply: GatewayReply) -> int:
+    def _print_reply(self, reply: GatewayReply) -> int:
         if self._as_json:
             print(reply.body.decode())
         else:
-            shown = msgspec.json.format(reply.body or b"{}", indent=2).decode()
-            print(shown, file=sys.stdout if reply.ok else sys.stderr)
+            formatted = msgspec.json.format(
+                reply.body or b"{}", indent=2
+            ).decode()
+            print(formatted, file=sys.stdout if reply.ok else sys.stderr)
         if reply.ok:
             return 0
         if reply.status == _CONFLICT_STATUS:
             return EXIT_CONFLICT
         if _MAY_HAVE_RUN.encode() in reply.body or reply.status >= 500:
-            refused = _NOT_RUN.encode() in reply.body
-            return EXIT_NOT_RUN if refused else EXIT_MAY_HAVE_RUN
+            is_not_run = _NOT_RUN.encode() in reply.body
+            return EXIT_NOT_RUN if is_not_run else EXIT_MAY_HAVE_RUN
         return EXIT_NOT_RUN
 
 
@@ -323,7 +327,7 @@
     return resources
 
 
-def _path(kind: str, name: str) -> str:
+def _resource_path(kind: str, name: str) -> str:
     return f"/v1/resources/{kind}/{name}"
 
 
--- a/burdockdrum/cli/connection.py
+++ b/burdockdrum/cli/connection.py
@@ -1,4 +1,4 @@
-"""Make a client from the command line."""
+"""Create a client from command-line arguments."""
 
 import random
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 def connect(arguments: dict[str, Any]) -> GatewayClient:
-    """Return a client for the entries, token and trust that were named."""
+    """Return a client with the given entries, token and certificates."""
     return GatewayClient(
         seeds=arguments["seeds"],
         token=arguments["--token"],
--- a/burdockdrum/cli/exit_codes.py
+++ b/burdockdrum/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""What the exit codes mean, for scripts."""
+"""The exit codes of the command-line tool."""
 
 EXIT_NOT_RUN = 1
 EXIT_MAY_HAVE_RUN = 2
--- a/burdockdrum/cli/output.py
+++ b/burdockdrum/cli/output.py
@@ -1,4 +1,4 @@
-"""Show tables and events to people."""
+"""Text formatting of tables and events."""
 
 import datetime
 
@@ -6,7 +6,7 @@
 
 
 def format_table(header: list[str], rows: list[list[str]]) -> str:
-    """Align columns; the first row is the header."""
+    """Return a table with aligned columns, the header first."""
     lines = [header, *rows]
     widths = [max(len(line[i]) for line in lines) for i in range(len(header))]
     return "\n".join(
@@ -18,8 +18,8 @@
 
 
 def format_event(event: Event) -> str:
-    """Show an event on one line."""
-    moment = datetime.datetime.fromtimestamp(
+    """Return an event as one line."""
+    event_time = datetime.datetime.fromtimestamp(
         event.stamp.wall_ms / 1000, datetime.UTC
     )
     subject = event.request_id or ""
@@ -28,7 +28,7 @@
     details = " ".join(
         f"{name}={value}" for name, value in event.details.items()
     )
-    time = moment.strftime("%H:%M:%S.%f")[:-3]
+    time = event_time.strftime("%H:%M:%S.%f")[:-3]
     return (
         f"{time}+{event.stamp.counter} {event.process} {event.name} "
         f"{subject} {details}"
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""Tests of the command-line tool against VMs in memory."""
+"""Tests of the command-line tool against simulated VMs."""
 
 import asyncio
 import contextlib
@@ -35,17 +35,17 @@
 
 
 class CommandTest(unittest.TestCase):
-    """What an operator sees, and the exit codes of scripts."""
+    """The output and the exit codes of commands."""
 
-    def run_commands(self, use, *, token="operator", as_json=True):
-        """Run a coroutine with the commands; return its result and output."""
+    def run_commands(self, scenario, *, token="operator", as_json=True):
+        """Run a scenario with the commands; return its result and output."""
 
         async def main():
             cluster = FakeCluster(seed=1)
             await cluster.start_vm(make_settings("a", "north", 1))
             await asyncio.sleep(6)
             client = connect(cluster, token)
-            result = await use(Commands(client=client, as_json=as_json))
+            result = await scenario(Commands(client=client, as_json=as_json))
             await cluster.stop()
             return result
 
@@ -67,12 +67,12 @@
     def test_apply_then_list_then_apply_again(self):
         path = self.write(RESOURCES)
 
-        async def use(commands):
+        async def scenario(commands):
             codes = [await commands.apply(path), await commands.apply(path)]
             await asyncio.sleep(3)
             return [*codes, await commands.show_list("service")]
 
-        codes, output = self.run_commands(use)
+        codes, output = self.run_commands(scenario)
         self.assertEqual([0, 0, 0], codes)
         views = msgspec.json.decode(output.splitlines()[-1])
         self.assertEqual("planner", views[0]["resource"]["name"])
@@ -82,35 +82,35 @@
         old = RESOURCES.replace('"north"\n', '"north"\nversion = 0\n', 1)
         stale = self.write(old)
 
-        async def use(commands):
+        async def scenario(commands):
             await commands.apply(path)
             return await commands.apply(stale)
 
-        code, output = self.run_commands(use)
+        code, output = self.run_commands(scenario)
         self.assertEqual(EXIT_CONFLICT, code)
         self.assertIn('"conflict"', output)
 
-    def test_misspelt_field_is_named(self):
+    def test_misspelt_field_is_named_in_the_error(self):
         path = self.write(RESOURCES.replace("regions", "regoins"))
         code, output = self.run_commands(lambda c: c.apply(path))
         self.assertEqual(EXIT_NOT_RUN, code)
         self.assertIn("regoins", output)
 
-    def test_dangling_reference_is_named(self):
+    def test_dangling_reference_is_named_in_the_error(self):
         path = self.write(RESOURCES.replace('["north"]', '["south"]'))
         code, output = self.run_commands(lambda c: c.apply(path))
         self.assertNotEqual(0, code)
         self.assertIn("spec.regions[0]: there is no region 'south'", output)
 
-    def test_refused_deletion_did_not_happen(self):
+    def test_deletion_of_a_used_resource_is_not_run(self):
         path = self.write(RESOURCES)
 
-        async def use(commands):
+        async def scenario(commands):
             await commands.apply(path)
             await asyncio.sleep(3)
             return await commands.delete("region", "north")
 
-        code, output = self.run_commands(use)
+        code, output = self.run_commands(scenario)
         self.assertEqual(EXIT_NOT_RUN, code)
         self.assertIn("is used by service 'planner'", output)
 
@@ -129,35 +129,35 @@
     def test_tables_are_aligned(self):
         path = self.write(RESOURCES)
 
-        async def use(commands):
+        async def scenario(commands):
             await commands.apply(path)
             await asyncio.sleep(3)
             return await commands.show_entries()
 
-        code, output = self.run_commands(use, as_json=False)
+        code, output = self.run_commands(scenario, as_json=False)
         self.assertEqual(0, code)
         header, row = output.splitlines()[-2:]
         self.assertEqual(header.index("URL"), row.index("http://"))
 
-    def test_timeline_shows_what_came_in_force(self):
+    def test_timeline_shows_an_applied_change(self):
         path = self.write(RESOURCES)
         arguments = {"--prefix": "configuration.in_force"}
         arguments |= {"--request": None, "--revision": None}
 
-        async def use(commands):
+        async def scenario(commands):
             await commands.apply(path)
             await asyncio.sleep(3)
             return await commands.show_timeline(arguments)
 
-        code, output = self.run_commands(use, as_json=False)
+        code, output = self.run_commands(scenario, as_json=False)
         self.assertEqual(0, code)
         self.assertIn("a configuration.in_force revision 2", output)
 
 
 class UsageTest(unittest.TestCase):
-    """Every command line of the help is understood, with --json too."""
+    """The usage text."""
 
-    def test_each_usage_line_takes_json(self):
+    def test_each_usage_line_accepts_json(self):
         usage = cli.__doc__.split("Usage:")[1].split("\n\n")[0]
         usage = re.sub(r"\n {4,}", " ", usage)
         lines = [
@@ -174,7 +174,7 @@
 
 
 class CheckTest(unittest.TestCase):
-    """The check of a settings file."""
+    """The check command."""
 
     def test_missing_file_has_its_own_exit_code(self):
         output = io.StringIO()
