--- a/tests/platform/__init__.py
+++ b/tests/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the translation of the platform's messages."""
+"""Tests of the platform's adapter."""
--- a/tests/platform/test_boot.py
+++ b/tests/platform/test_boot.py
@@ -84,7 +84,7 @@
 
 
 class BootTest(unittest.TestCase):
-    """The settings file of a machine."""
+    """Decoding of a machine's settings file."""
 
     def read(self, text):
         with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
@@ -92,7 +92,7 @@
             file.flush()
             return read_boot(file.name)
 
-    def test_control_machine(self):
+    def test_machine_with_a_data_folder_is_a_control_vm(self):
         settings = make_settings(self.read(BOOT))
         self.assertEqual("vm-10.0.0.2", settings.vm.id)
         self.assertEqual("tcp://10.0.0.2:7000", settings.listen.control)
@@ -112,7 +112,7 @@
         drain = settings.drain
         self.assertLess(drain.lists_seconds + drain.limit_seconds, 8)
 
-    def test_machine_without_a_disk_is_an_entry(self):
+    def test_machine_without_a_data_folder_is_an_entry(self):
         text = BOOT.replace('data_dir = "/data"', "").replace(
             'control = "10.0.0.2:80"', 'front = "10.0.0.2:81"'
         )
@@ -121,19 +121,19 @@
         self.assertEqual("10.0.0.2:81", settings.passthrough.callers)
         self.assertEqual("10.0.0.2:7001", settings.passthrough.vms)
 
-    def test_what_is_no_settings_file_is_refused(self):
+    def test_invalid_settings_file_is_rejected(self):
         for text in ("", "node = ", BOOT.replace('zone = "a"', "zone = 3")):
             with self.assertRaises(ValueError):
                 self.read(text)
 
 
 class DocumentTest(unittest.TestCase):
-    """The operators' document."""
+    """Decoding of the operators' document."""
 
     def read(self, **changes):
         return read_document(json.dumps({**DOCUMENT, **changes}).encode())
 
-    def test_fields_say_what_they_hold(self):
+    def test_document_is_decoded(self):
         table = self.read()
         check_routes(table)
         plan, fetch = table.routes
@@ -148,30 +148,30 @@
         self.assertEqual(999, table.limits.header_bytes)
         self.assertEqual(7.0, table.limits.idle_seconds)
 
-    def test_document_is_read_back_as_it_was_written(self):
+    def test_document_round_trips_unchanged(self):
         body = json.dumps({**DOCUMENT, "later_field": [1]}).encode()
         self.assertEqual(body, write_document(read_document(body)))
 
-    def test_stream_that_may_not_resume_is_not_repeated(self):
+    def test_stream_that_can_not_resume_is_not_idempotent(self):
         route = {**DOCUMENT["routes"][0], "can_resume": False}
         table = self.read(routes=[route])
         self.assertFalse(table.routes[0].idempotent)
 
-    def test_invalid_documents_are_refused_with_the_field(self):
+    def test_invalid_document_is_rejected_with_the_field(self):
         plan, fetch = DOCUMENT["routes"]
-        wrong = {
+        invalid_routes = {
             "service": [{**fetch, "service": "unknown"}],
             "host and prefix": [fetch, {**fetch, "name": "twin"}],
             "weights": [{**plan, "backends": [{"service": "m", "weight": 0}]}],
             "timeout": [{**fetch, "timeout_ms": 0}],
         }
-        for word, routes in wrong.items():
+        for word, routes in invalid_routes.items():
             with self.subTest(word=word):
                 with self.assertRaises(ResourceError) as caught:
                     check_routes(self.read(routes=routes))
                 self.assertIn(word, str(caught.exception))
 
-    def test_document_that_is_cut_short_is_refused(self):
+    def test_truncated_document_is_rejected(self):
         body = json.dumps(DOCUMENT).encode()
         for size in (0, 1, len(body) // 2, len(body) - 1):
             with self.assertRaises(DocumentError):
@@ -179,7 +179,7 @@
 
 
 class CheckInTest(unittest.TestCase):
-    """What runners say of themselves."""
+    """Decoding of runners' check-ins."""
 
     SAID = {
         "service": "m",
@@ -196,28 +196,28 @@
             "i", json.dumps({**self.SAID, **changes}).encode()
         )
 
-    def test_check_in(self):
-        said = self.read()
-        self.assertEqual(RegistrationState.READY, said.state)
-        self.assertEqual(1.5, said.cold_seconds)
-        self.assertIsNone(said.seconds_left)
-        said = self.read(state="draining", shutdown_in_ms=2000)
-        self.assertEqual(RegistrationState.LEAVING, said.state)
-        self.assertEqual(2.0, said.seconds_left)
+    def test_check_in_is_decoded(self):
+        registration = self.read()
+        self.assertEqual(RegistrationState.READY, registration.state)
+        self.assertEqual(1.5, registration.cold_seconds)
+        self.assertIsNone(registration.seconds_left)
+        registration = self.read(state="draining", shutdown_in_ms=2000)
+        self.assertEqual(RegistrationState.LEAVING, registration.state)
+        self.assertEqual(2.0, registration.seconds_left)
 
-    def test_what_can_not_be_read_is_refused_with_the_field(self):
+    def test_invalid_check_in_is_rejected_with_the_field(self):
         with self.assertRaises(CheckInError) as caught:
             self.read(slots="many")
         self.assertIn("slots", str(caught.exception))
 
 
 class DrainTest(unittest.TestCase):
-    """How long a stopped entry takes requests."""
+    """The phases of an entry's drain."""
 
-    def test_nothing_is_taken_that_could_be_cut_off(self):
-        # Seen with an entry that took a stream 3.3 s after its signal, and
-        # ended in the middle of it: what it took in the first three seconds
-        # may be cut in the last sixth of its time, nothing later may.
+    def test_requests_accepted_while_draining_can_complete(self):
+        # Requests accepted in the first three seconds after the stop signal
+        # may be truncated in the last sixth of the grace period; a request
+        # accepted later must complete.
         boot = BootTest().read(BOOT)
         drain = make_settings(boot).drain
         grace = boot.bounds.grace_s
--- a/tests/platform/test_faces.py
+++ b/tests/platform/test_faces.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's calls, over sockets."""
+"""Tests of the platform's HTTP API over sockets."""
 
 import json
 import pathlib
@@ -12,10 +12,10 @@
 ROOT = pathlib.Path(__file__).parents[2]
 sys.path.insert(0, str(ROOT / "platform"))
 
-from adapter.faces import DirectoryCalls  # noqa: E402
-from adapter.faces import Face  # noqa: E402
-from adapter.faces import OperatorCalls  # noqa: E402
-from adapter.faces import RunnerCalls  # noqa: E402
+from adapter.faces import DirectoryHandlers  # noqa: E402
+from adapter.faces import OperatorHandlers  # noqa: E402
+from adapter.faces import Router  # noqa: E402
+from adapter.faces import RunnerHandlers  # noqa: E402
 
 from burdockdrum.configuration import ChangeUnknown  # noqa: E402
 from burdockdrum.consensus import NotCurrent  # noqa: E402
@@ -30,48 +30,48 @@
 from tests.platform.test_boot import DOCUMENT  # noqa: E402
 
 
-class Configuration:
-    """A configuration service over a store that always agrees."""
+class FakeConfigurationService:
+    """A configuration service over a local store."""
 
     def __init__(self):
-        """Start empty."""
+        """Create an empty store."""
         self.store = ResourceStore()
         self.error = None
 
     async def change(self, change) -> ChangeResult:
-        """Apply a change, or raise what a test asks for."""
+        """Apply a change, or raise the error that a test has set."""
         if self.error is not None:
             raise self.error
         return self.store.apply(change)
 
     async def read_agreed(self, timeout):
-        """Return the configuration, or raise."""
+        """Return the configuration, or raise the error that is set."""
         if self.error is not None:
             raise self.error
         return self.store.configuration
 
 
 class FacesTest(ListenerCase, unittest.IsolatedAsyncioTestCase):
-    """Operators, runners and callers that look for an entry."""
+    """The API for operators, runners and callers."""
 
     async def asyncSetUp(self):
         logger.disable("burdockdrum")
         self.addCleanup(logger.enable, "burdockdrum")
         logger.disable("adapter")
-        self.configuration = Configuration()
-        operators = OperatorCalls(configuration=self.configuration)
+        self.configuration = FakeConfigurationService()
+        operators = OperatorHandlers(configuration=self.configuration)
         self.book = RegistrationBook(clock=ManualClock())
-        runners = RunnerCalls(book=self.book)
+        runners = RunnerHandlers(book=self.book)
         self.views = []
-        directory = DirectoryCalls(
+        directory = DirectoryHandlers(
             vms=types.SimpleNamespace(live_vms=lambda: self.views),
             routes=types.SimpleNamespace(
                 home_regions_of=lambda host: {"home"}
             ),
             rng=random.Random(1),
         )
-        face = Face(
-            calls={
+        router = Router(
+            handlers={
                 "PUT /v1/config": operators.put_config,
                 "GET /v1/config": operators.get_config,
                 "POST /v1/evac/": operators.start_evacuation,
@@ -81,7 +81,7 @@
                 "GET /v1/resolve": directory.resolve,
             }
         )
-        await self.open(face.serve)
+        await self.open(router.serve)
         self.addAsyncCleanup(self.listener.close)
 
     async def call(self, method, path, body=""):
@@ -91,22 +91,22 @@
             f"Content-Length: {len(data)}\r\n\r\n".encode()
             + data
         )
-        head, _, rest = answer.partition(b"\r\n\r\n")
-        return int(head.split(b" ")[1]), rest
+        parent, _, rest = answer.partition(b"\r\n\r\n")
+        return int(parent.split(b" ")[1]), rest
 
     def document(self, **changes):
         return json.dumps({**DOCUMENT, **changes})
 
-    async def test_document_is_kept_and_read_back(self):
+    async def test_document_is_stored_and_read_back(self):
         self.assertEqual(503, (await self.call("GET", "/v1/config"))[0])
         body = self.document()
         self.assertEqual(200, (await self.call("PUT", "/v1/config", body))[0])
         status, read = await self.call("GET", "/v1/config")
         self.assertEqual((200, body.encode()), (status, read))
 
-    async def test_older_document_is_acknowledged_and_changes_nothing(self):
-        # HARD CASE 16, as the platform has it: a copy that arrives again
-        # after a newer one, or other content under the version in force.
+    async def test_older_document_is_acknowledged_without_effect(self):
+        # HARD CASE 16: a document is delivered again after a newer one, or
+        # other content is sent under the active version.
         newest = self.document(version=9)
         await self.call("PUT", "/v1/config", newest)
         for version in (7, 9):
@@ -116,7 +116,7 @@
         _, read = await self.call("GET", "/v1/config")
         self.assertEqual(newest.encode(), read)
 
-    async def test_invalid_document_is_refused_whole(self):
+    async def test_invalid_document_changes_nothing(self):
         await self.call("PUT", "/v1/config", self.document())
         wrong = self.document(version=8, services=[])
         status, reason = await self.call("PUT", "/v1/config", wrong)
@@ -127,7 +127,7 @@
         _, read = await self.call("GET", "/v1/config")
         self.assertEqual(self.document().encode(), read)
 
-    async def test_nothing_is_read_or_promised_without_a_quorum(self):
+    async def test_without_a_quorum_reads_and_changes_fail(self):
         await self.call("PUT", "/v1/config", self.document())
         self.configuration.error = NotCurrent("no quorum")
         self.assertEqual(503, (await self.call("GET", "/v1/config"))[0])
@@ -135,7 +135,7 @@
         body = self.document(version=8)
         self.assertEqual(503, (await self.call("PUT", "/v1/config", body))[0])
 
-    async def test_evacuation_begins_and_ends(self):
+    async def test_evacuation_starts_and_ends(self):
         for _ in range(2):
             status, _ = await self.call("POST", "/v1/evac/zone-a")
             self.assertEqual(200, status)
@@ -149,7 +149,7 @@
         status, _ = await self.call("POST", "/v1/evac/")
         self.assertEqual(404, status)
 
-    async def test_runner_checks_in_and_leaves(self):
+    async def test_runner_registers_and_deregisters(self):
         body = json.dumps(CheckInTest.SAID)
         status, _ = await self.call("PUT", "/v1/instances/i-1", body)
         self.assertEqual(200, status)
@@ -160,7 +160,7 @@
         self.assertEqual(400, status)
         self.assertIn(b"service", reason)
 
-    async def test_directory_prefers_what_is_near_then_homes(self):
+    async def test_directory_prefers_near_entries_then_home_regions(self):
         def add(region, zone, ip, **fields):
             self.views.append(
                 VmView(
--- a/tests/platform/test_memories.py
+++ b/tests/platform/test_memories.py
@@ -1,4 +1,4 @@
-"""Tests of what runners say that they hold, as the platform writes it."""
+"""Tests of the client for the prefix-cache reports of runners."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 
 from adapter.memories import read_events  # noqa: E402
 from adapter.memories import read_list  # noqa: E402
-from adapter.memories import RunnerMemories  # noqa: E402
+from adapter.memories import RunnerCacheClient  # noqa: E402
 
 from burdockdrum.holdings import HoldingsUnknown  # noqa: E402
 from burdockdrum.http1 import ConnectionPool  # noqa: E402
@@ -33,7 +33,7 @@
         [22, "-", "", "a9400651fb21", 0, "m"],
     ],
 }
-LIST = {
+SNAPSHOT = {
     "epoch": 7,
     "next": 22,
     "held": [["", "cd6f6c6f7c40", 20756, "m"], ["", "3e09d33b69e7", 17, "m"]],
@@ -48,23 +48,23 @@
 )
 
 
-def encode(said, **changes):
-    """Return a body with fields changed."""
-    return json.dumps({**said, **changes}).encode()
+def encode(response, **changes):
+    """Return a JSON body with some fields changed."""
+    return json.dumps({**response, **changes}).encode()
 
 
 class DecodeTest(unittest.TestCase):
-    """Lists that are whole, and lists of other writers."""
+    """Decoding of valid and invalid reports."""
 
-    def test_events(self):
+    def test_events_are_decoded(self):
         events = read_events(encode(EVENTS), 19)
         self.assertEqual((7, 22, False), (events.epoch, events.number, False))
         self.assertFalse(events.has_gap)
         expected = {"cd6f6c6f7c40": 20756, "a9400651fb21": 0}
         self.assertEqual(expected, events.tokens_by_part)
 
-    def test_gaps(self):
-        # Some were dropped, one never came, or the last one is late.
+    def test_missing_events_are_a_gap(self):
+        # The runner dropped events, one is missing, or the last is missing.
         self.assertTrue(read_events(encode(EVENTS, lost=True), 19).has_gap)
         self.assertTrue(read_events(encode(EVENTS), 18).has_gap)
         self.assertTrue(read_events(encode(EVENTS, next=23), 19).has_gap)
@@ -72,19 +72,19 @@
         body = encode(EVENTS, events=[row[0], row[2]])
         self.assertTrue(read_events(body, 19).has_gap)
 
-    def test_entry_that_can_not_be_read_names_nothing(self):
-        # The others of the list hold; the event itself is missing.
+    def test_invalid_entries_are_skipped(self):
+        # The valid entries are used; an invalid event counts as a gap.
         rows = [EVENTS["events"][0], ["x"], EVENTS["events"][2]]
         events = read_events(encode(EVENTS, events=rows), 19)
         self.assertTrue(events.has_gap)
         self.assertEqual(20756, events.tokens_by_part["cd6f6c6f7c40"])
-        rows = [["", "", 5, "m"], ["", "p", -1, "m"], 3, *LIST["held"]]
-        held = read_list(encode(LIST, held=rows))
+        rows = [["", "", 5, "m"], ["", "p", -1, "m"], 3, *SNAPSHOT["held"]]
+        held = read_list(encode(SNAPSHOT, held=rows))
         self.assertEqual(
             {"cd6f6c6f7c40": 20756, "3e09d33b69e7": 17}, held.tokens_by_part
         )
 
-    def test_what_is_no_such_list_is_refused(self):
+    def test_invalid_body_is_rejected(self):
         for change in ({"epoch": "7"}, {"next": None}, {"events": {}}):
             with self.assertRaises(HoldingsUnknown):
                 read_events(encode(EVENTS, **change), 19)
@@ -96,12 +96,12 @@
         strategies.lists(VALUES, max_size=5),
         strategies.integers(0, 200),
     )
-    def test_any_entries(self, rows, cut):
-        for read, said, field in (
+    def test_arbitrary_entries_are_decoded_or_rejected(self, rows, cut):
+        for read, response, field in (
             (lambda body: read_events(body, 0), EVENTS, "events"),
-            (read_list, LIST, "held"),
+            (read_list, SNAPSHOT, "held"),
         ):
-            body = encode(said, **{field: rows})
+            body = encode(response, **{field: rows})
             for sent in (body, body[:cut]):
                 try:
                     held = read(sent)
@@ -112,7 +112,7 @@
 
     @settings(max_examples=200, deadline=None)
     @given(strategies.binary(max_size=100))
-    def test_any_bytes(self, body):
+    def test_arbitrary_bytes_are_decoded_or_rejected(self, body):
         for read in (lambda body: read_events(body, 0), read_list):
             try:
                 read(body)
@@ -121,7 +121,7 @@
 
 
 class CallTest(unittest.IsolatedAsyncioTestCase):
-    """The calls, over sockets."""
+    """Queries over sockets."""
 
     async def open(self, status, body):
         self.targets = []
@@ -140,26 +140,28 @@
         self.addAsyncCleanup(server.close)
         pool = ConnectionPool(id_header=b"x-request-id")
         self.addCleanup(pool.close)
-        return RunnerMemories(pool=pool), make_endpoint("e", address=address)
+        return RunnerCacheClient(pool=pool), make_endpoint(
+            "e", address=address
+        )
 
-    async def test_calls_go_over_one_connection(self):
-        memories, endpoint = await self.open(200, encode(EVENTS))
+    async def test_connection_is_reused(self):
+        prefix_caches, endpoint = await self.open(200, encode(EVENTS))
         for _ in range(3):
-            events = await memories.read_events(endpoint, 19)
+            events = await prefix_caches.read_events(endpoint, 19)
         self.assertEqual(22, events.number)
         expected = [b"GET /v1/kv-events?since=19 HTTP/1.1"] * 3
         self.assertEqual(expected, self.targets)
 
-    async def test_refusal_is_no_knowledge(self):
-        memories, endpoint = await self.open(429, b"")
+    async def test_error_status_raises(self):
+        prefix_caches, endpoint = await self.open(429, b"")
         with self.assertRaises(HoldingsUnknown):
-            await memories.read_events(endpoint, 19)
+            await prefix_caches.read_events(endpoint, 19)
 
-    async def test_endpoint_that_is_down_is_no_knowledge(self):
-        memories, endpoint = await self.open(200, encode(LIST))
-        gone = make_endpoint("e", address="127.0.0.1:1")
+    async def test_unreachable_endpoint_raises(self):
+        prefix_caches, endpoint = await self.open(200, encode(SNAPSHOT))
+        unreachable = make_endpoint("e", address="127.0.0.1:1")
         with self.assertRaises(HoldingsUnknown):
-            await memories.read_list(gone)
-        held = await memories.read_list(endpoint)
+            await prefix_caches.read_list(unreachable)
+        held = await prefix_caches.read_list(endpoint)
         self.assertEqual(2, len(held.tokens_by_part))
         await asyncio.sleep(0)
--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -1,4 +1,4 @@
-"""Tests of real processes: start, serve, signals, losses."""
+"""Tests of a deployment of real processes: signals, crashes, restarts."""
 
 import asyncio
 import json
@@ -33,7 +33,7 @@
 
 
 async def run_request(reader, writer):
-    """Answer each request as a runner does, after a while if asked to."""
+    """Respond to each request as a runner, with a delay under /slow."""
     while True:
         head, body = await read_request(reader)
         if b"/slow" in head:
@@ -47,7 +47,7 @@
 
 
 class ProcessesTest(unittest.IsolatedAsyncioTestCase):
-    """Three control machines and three entries."""
+    """Three control VMs and three entries."""
 
     async def asyncSetUp(self):
         self.deployment = Deployment()
@@ -56,18 +56,18 @@
         self.address = await self.runner.open()
         self.addAsyncCleanup(self.runner.close)
         await self.deployment.start()
-        self.beating = asyncio.create_task(self.check_in())
-        self.addAsyncCleanup(self.stop_beating)
+        self.heartbeat = asyncio.create_task(self.check_in())
+        self.addAsyncCleanup(self.stop_heartbeat)
         await until(self.put_config, 20)
         await self.deployment.until_ready()
         await until(self.is_served)
 
-    async def stop_beating(self):
-        self.beating.cancel()
-        await asyncio.gather(self.beating, return_exceptions=True)
+    async def stop_heartbeat(self):
+        self.heartbeat.cancel()
+        await asyncio.gather(self.heartbeat, return_exceptions=True)
 
     async def check_in(self):
-        """Check in for zone a at whichever control machine answers."""
+        """Check in a runner of zone a at the first available control VM."""
         sequence = 0
         while True:
             sequence += 1
@@ -110,13 +110,13 @@
                 return json.loads(body)["version"]
         return None
 
-    async def ask(self, entry, path="/p/x"):
+    async def send_request(self, entry, path="/p/x"):
         headers = ("Host: h", "X-Request-Id: r1", "X-Deadline-Ms: 3000")
         return await call(entry.ip, CALLERS_PORT, "POST", path, b"q", headers)
 
     async def is_served(self):
-        """Say whether every entry gets answers, from other regions too."""
-        answers = [await self.ask(e) for e in self.deployment.entries]
+        """Return whether requests to every entry succeed."""
+        answers = [await self.send_request(e) for e in self.deployment.entries]
         return all(answer == (200, b"ran") for answer in answers)
 
     async def resolve(self):
@@ -126,19 +126,19 @@
         return json.loads(body)["addrs"] if status == 200 else []
 
     async def test_stopped_entry_cuts_nobody_off(self):
-        # HARD CASE 20: a request is under way when the entry is stopped.
-        # It is answered; the entry is off the lists and not ready at once,
-        # still serves who comes meanwhile, and ends within its time.
+        # HARD CASE 20: an entry is stopped during a request. The request
+        # completes; the entry is delisted and not ready at once, still serves
+        # new requests for a while, and exits within the grace period.
         entry = self.deployment.entries[0]
         address = f"{entry.ip}:{CALLERS_PORT}"
         self.assertEqual([address], await self.resolve())
-        slow = asyncio.create_task(self.ask(entry, "/p/slow"))
+        slow = asyncio.create_task(self.send_request(entry, "/p/slow"))
         await asyncio.sleep(0.2)
         entry.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.5)
         self.assertFalse(await is_ready(entry))
         self.assertNotIn(address, await self.resolve())
-        self.assertEqual((200, b"ran"), await self.ask(entry))
+        self.assertEqual((200, b"ran"), await self.send_request(entry))
         self.assertEqual((200, b"ran"), await slow)
         async with asyncio.timeout(8):
             self.assertEqual(0, await entry.process.wait())
@@ -146,7 +146,7 @@
         for name in ("process.started", "process.stopping", "process.stopped"):
             self.assertIn(name, events)
 
-    async def test_reload_ends_nothing(self):
+    async def test_reload_interrupts_nothing(self):
         for machine in self.deployment.machines:
             machine.send_signal(signal.SIGHUP)
         await asyncio.sleep(0.5)
@@ -159,9 +159,9 @@
         self.assertIn("settings.refused", entry.events())
         self.assertTrue(await self.is_served())
 
-    async def test_loss_of_any_control_machine_is_borne(self):
-        # Each is killed in turn and comes back, one with an empty disk.
-        # What was acknowledged stays, and changes are taken throughout.
+    async def test_loss_of_any_control_machine_is_tolerated(self):
+        # Each control VM is killed and restarted in turn, one with an empty
+        # disk. Acknowledged changes survive and new ones are accepted.
         version = 4
         for machine in self.deployment.control:
             await machine.stop()
--- a/tests/platform/test_tenants.py
+++ b/tests/platform/test_tenants.py
@@ -20,8 +20,8 @@
 ERRORS = (DocumentError, ResourceError)
 
 
-def read(*tenants):
-    """Read and check a document with tenants."""
+def read_tenants(*tenants):
+    """Decode and validate a document with tenants."""
     table = read_document(
         json.dumps({**DOCUMENT, "tenants": tenants}).encode()
     )
@@ -29,16 +29,16 @@
     return table
 
 
-def make(name="a", **fields):
+def make_tenant(name="a", **fields):
     """Return a tenant with one key."""
     return {"name": name, "api_keys": [f"key-{name}"], **fields}
 
 
 class TenantsTest(unittest.TestCase):
-    """What operators may say of tenants, and what not."""
+    """Valid and invalid tenants."""
 
-    def test_fields_become_those_of_a_team(self):
-        tenant = make(
+    def test_tenant_is_decoded_into_a_team(self):
+        tenant = make_tenant(
             priority=2,
             unit="tokens",
             plain_tokens=200,
@@ -46,7 +46,7 @@
             burst=72000.5,
             home_regions=["north"],
         )
-        [team] = read(tenant).teams
+        [team] = read_tenants(tenant).teams
         limit = RateLimit(
             unit="tokens", per_second=36000.0, burst=72000.5, plain_tokens=200
         )
@@ -61,50 +61,62 @@
             ),
         )
 
-    def test_rate_of_nothing_is_no_limit(self):
+    def test_zero_rate_is_no_limit(self):
         for fields in ({}, {"rate_per_s": 0}, {"rate_per_s": 0, "burst": 9}):
-            self.assertIsNone(read(make(**fields)).teams[0].limit)
+            self.assertIsNone(
+                read_tenants(make_tenant(**fields)).teams[0].limit
+            )
 
-    def test_document_without_tenants_lets_everyone_call(self):
+    def test_document_without_tenants_has_no_teams(self):
         self.assertIsNone(read_document(json.dumps(DOCUMENT).encode()).teams)
-        self.assertEqual([], read().teams)
-
-    def test_same_key_twice_in_one_tenant_is_one_key(self):
-        read(make(api_keys=["k", "k"]))
-
-    def test_what_no_team_can_be_is_refused(self):
-        """Half of what an operator wrote comes into force."""
-        refused = {
-            "key of two": [make("a"), make("b", api_keys=["key-a"])],
-            "name twice": [make("a"), make("a", api_keys=["other"])],
-            "empty key": [make(api_keys=[""])],
+        self.assertEqual([], read_tenants().teams)
+
+    def test_duplicate_key_within_one_tenant_is_accepted(self):
+        read_tenants(make_tenant(api_keys=["k", "k"]))
+
+    def test_invalid_tenants_are_rejected(self):
+        """A document with an invalid tenant must not be applied in part."""
+        invalid = {
+            "key of two": [
+                make_tenant("a"),
+                make_tenant("b", api_keys=["key-a"]),
+            ],
+            "name twice": [
+                make_tenant("a"),
+                make_tenant("a", api_keys=["other"]),
+            ],
+            "empty key": [make_tenant(api_keys=[""])],
             "no name": [{"api_keys": ["k"]}],
-            "empty name": [make("")],
-            "name of two lines": [make("a\r\nb")],
-            "keys of no list": [make(api_keys="k")],
-            "key of no text": [make(api_keys=[7])],
-            "unknown unit": [make(unit="bytes", rate_per_s=1)],
-            "negative rate": [make(rate_per_s=-1)],
-            "negative burst": [make(rate_per_s=1, burst=-1)],
-            "rate of text": [make(rate_per_s="many")],
-            "priority of text": [make(priority="first")],
-            "homes of no list": [make(home_regions="north")],
+            "empty name": [make_tenant("")],
+            "name of two lines": [make_tenant("a\r\nb")],
+            "keys of no list": [make_tenant(api_keys="k")],
+            "key of no text": [make_tenant(api_keys=[7])],
+            "unknown unit": [make_tenant(unit="bytes", rate_per_s=1)],
+            "negative rate": [make_tenant(rate_per_s=-1)],
+            "negative burst": [make_tenant(rate_per_s=1, burst=-1)],
+            "rate of text": [make_tenant(rate_per_s="many")],
+            "priority of text": [make_tenant(priority="first")],
+            "homes of no list": [make_tenant(home_regions="north")],
             "tenant of no table": ["a"],
         }
-        for name, tenants in refused.items():
+        for name, tenants in invalid.items():
             with self.subTest(name), self.assertRaises(ERRORS):
-                read(*tenants)
+                read_tenants(*tenants)
 
-    def test_infinite_and_absurd_numbers_are_refused(self):
+    def test_infinite_numbers_are_rejected(self):
         for number in ("Infinity", "NaN", "1e999", "-1e999"):
-            body = json.dumps({**DOCUMENT, "tenants": [make(rate_per_s=7)]})
+            body = json.dumps(
+                {**DOCUMENT, "tenants": [make_tenant(rate_per_s=7)]}
+            )
             body = body.replace(": 7", f": {number}")
             with self.subTest(number), self.assertRaises(ERRORS):
                 check_routes(read_document(body.encode()))
 
-    def test_refusal_names_both_teams_and_no_key(self):
+    def test_error_names_both_teams_and_no_key(self):
         with self.assertRaises(ResourceError) as caught:
-            read(make("a"), make("b", api_keys=["key-b", "key-a"]))
+            read_tenants(
+                make_tenant("a"), make_tenant("b", api_keys=["key-b", "key-a"])
+            )
         message = str(caught.exception)
         self.assertIn("'a'", message)
         self.assertIn("'b'", message)
