--- a/tests/platform/test_boot.py
+++ b/tests/platform/test_boot.py
@@ -199,10 +199,10 @@
     def test_check_in_is_decoded(self):
         registration = self.read()
         self.assertEqual(RegistrationState.READY, registration.state)
-        self.assertEqual(1.5, registration.cold_seconds)
+        self.assertEqual(1.5, registration.slow_start_seconds)
         self.assertIsNone(registration.seconds_left)
         registration = self.read(state="draining", shutdown_in_ms=2000)
-        self.assertEqual(RegistrationState.LEAVING, registration.state)
+        self.assertEqual(RegistrationState.DRAINING, registration.state)
         self.assertEqual(2.0, registration.seconds_left)
 
     def test_invalid_check_in_is_rejected_with_the_field(self):
--- a/tests/platform/test_memories.py
+++ b/tests/platform/test_memories.py
@@ -17,7 +17,7 @@
 from adapter.memories import read_list  # noqa: E402
 from adapter.memories import RunnerCacheClient  # noqa: E402
 
-from burdockdrum.holdings import HoldingsUnknown  # noqa: E402
+from burdockdrum.holdings import PrefixCacheUnavailable  # noqa: E402
 from burdockdrum.http1 import ConnectionPool  # noqa: E402
 from tests.http1.wire import read_request  # noqa: E402
 from tests.http1.wire import ScriptedServer  # noqa: E402
@@ -86,9 +86,9 @@
 
     def test_invalid_body_is_rejected(self):
         for change in ({"epoch": "7"}, {"next": None}, {"events": {}}):
-            with self.assertRaises(HoldingsUnknown):
+            with self.assertRaises(PrefixCacheUnavailable):
                 read_events(encode(EVENTS, **change), 19)
-        with self.assertRaises(HoldingsUnknown):
+        with self.assertRaises(PrefixCacheUnavailable):
             read_list(b'{"epoch":1}')
 
     @settings(max_examples=300, deadline=None)
@@ -105,7 +105,7 @@
             for sent in (body, body[:cut]):
                 try:
                     held = read(sent)
-                except HoldingsUnknown:
+                except PrefixCacheUnavailable:
                     continue
                 for tokens in held.tokens_by_part.values():
                     self.assertGreaterEqual(tokens, 0)
@@ -116,7 +116,7 @@
         for read in (lambda body: read_events(body, 0), read_list):
             try:
                 read(body)
-            except HoldingsUnknown:
+            except PrefixCacheUnavailable:
                 continue
 
 
@@ -154,14 +154,14 @@
 
     async def test_error_status_raises(self):
         prefix_caches, endpoint = await self.open(429, b"")
-        with self.assertRaises(HoldingsUnknown):
+        with self.assertRaises(PrefixCacheUnavailable):
             await prefix_caches.read_events(endpoint, 19)
 
     async def test_unreachable_endpoint_raises(self):
         prefix_caches, endpoint = await self.open(200, encode(SNAPSHOT))
         unreachable = make_endpoint("e", address="127.0.0.1:1")
-        with self.assertRaises(HoldingsUnknown):
-            await prefix_caches.read_list(unreachable)
-        held = await prefix_caches.read_list(endpoint)
+        with self.assertRaises(PrefixCacheUnavailable):
+            await prefix_caches.read_snapshot(unreachable)
+        held = await prefix_caches.read_snapshot(endpoint)
         self.assertEqual(2, len(held.tokens_by_part))
         await asyncio.sleep(0)
