--- a/tests/platform/test_memories.py
+++ b/tests/platform/test_memories.py
@@ -13,8 +13,8 @@
 ROOT = pathlib.Path(__file__).parents[2]
 sys.path.insert(0, str(ROOT / "platform"))
 
-from adapter.memories import read_events  # noqa: E402
-from adapter.memories import read_list  # noqa: E402
+from adapter.memories import decode_events  # noqa: E402
+from adapter.memories import decode_snapshot  # noqa: E402
 from adapter.memories import RunnerCacheClient  # noqa: E402
 
 from burdockdrum.holdings import PrefixCacheUnavailable  # noqa: E402
@@ -57,7 +57,7 @@
     """Decoding of valid and invalid reports."""
 
     def test_events_are_decoded(self):
-        events = read_events(encode(EVENTS), 19)
+        events = decode_events(encode(EVENTS), 19)
         self.assertEqual((7, 22, False), (events.epoch, events.number, False))
         self.assertFalse(events.has_gap)
         expected = {"cd6f6c6f7c40": 20756, "a9400651fb21": 0}
@@ -65,21 +65,21 @@
 
     def test_missing_events_are_a_gap(self):
         # The runner dropped events, one is missing, or the last is missing.
-        self.assertTrue(read_events(encode(EVENTS, lost=True), 19).has_gap)
-        self.assertTrue(read_events(encode(EVENTS), 18).has_gap)
-        self.assertTrue(read_events(encode(EVENTS, next=23), 19).has_gap)
+        self.assertTrue(decode_events(encode(EVENTS, lost=True), 19).has_gap)
+        self.assertTrue(decode_events(encode(EVENTS), 18).has_gap)
+        self.assertTrue(decode_events(encode(EVENTS, next=23), 19).has_gap)
         row = EVENTS["events"]
         body = encode(EVENTS, events=[row[0], row[2]])
-        self.assertTrue(read_events(body, 19).has_gap)
+        self.assertTrue(decode_events(body, 19).has_gap)
 
     def test_invalid_entries_are_skipped(self):
         # The valid entries are used; an invalid event counts as a gap.
         rows = [EVENTS["events"][0], ["x"], EVENTS["events"][2]]
-        events = read_events(encode(EVENTS, events=rows), 19)
+        events = decode_events(encode(EVENTS, events=rows), 19)
         self.assertTrue(events.has_gap)
         self.assertEqual(20756, events.tokens_by_part["cd6f6c6f7c40"])
         rows = [["", "", 5, "m"], ["", "p", -1, "m"], 3, *SNAPSHOT["held"]]
-        held = read_list(encode(SNAPSHOT, held=rows))
+        held = decode_snapshot(encode(SNAPSHOT, held=rows))
         self.assertEqual(
             {"cd6f6c6f7c40": 20756, "3e09d33b69e7": 17}, held.tokens_by_part
         )
@@ -87,9 +87,9 @@
     def test_invalid_body_is_rejected(self):
         for change in ({"epoch": "7"}, {"next": None}, {"events": {}}):
             with self.assertRaises(PrefixCacheUnavailable):
-                read_events(encode(EVENTS, **change), 19)
+                decode_events(encode(EVENTS, **change), 19)
         with self.assertRaises(PrefixCacheUnavailable):
-            read_list(b'{"epoch":1}')
+            decode_snapshot(b'{"epoch":1}')
 
     @settings(max_examples=300, deadline=None)
     @given(
@@ -98,8 +98,8 @@
     )
     def test_arbitrary_entries_are_decoded_or_rejected(self, rows, cut):
         for read, response, field in (
-            (lambda body: read_events(body, 0), EVENTS, "events"),
-            (read_list, SNAPSHOT, "held"),
+            (lambda body: decode_events(body, 0), EVENTS, "events"),
+            (decode_snapshot, SNAPSHOT, "held"),
         ):
             body = encode(response, **{field: rows})
             for sent in (body, body[:cut]):
@@ -113,7 +113,7 @@
     @settings(max_examples=200, deadline=None)
     @given(strategies.binary(max_size=100))
     def test_arbitrary_bytes_are_decoded_or_rejected(self, body):
-        for read in (lambda body: read_events(body, 0), read_list):
+        for read in (lambda body: decode_events(body, 0), decode_snapshot):
             try:
                 read(body)
             except PrefixCacheUnavailable:
